--- a/courseroute/state/figures.py
+++ b/courseroute/state/figures.py
@@ -1,8 +1,8 @@
-"""Counts of what the relay did, and its longest delays, for one line in its log."""
+"""Counters of what the relay did and its longest delays, reported as one log line."""
 
 from collections import Counter
 
-LOOP_DELAY = "loop_delay_ms"  # a timer of the event loop fired so long after its time
+LOOP_DELAY = "loop_delay_ms"  # how late a timer of the event loop fired
 
 
 class Figures:
@@ -14,16 +14,18 @@
         self.longest_ms = {LOOP_DELAY: 0.0}  # since the last report
 
     def count(self, kind, value):
-        """One more of a kind with that value, such as ("closed", CloseCause.NO_ROOM)."""
+        """Adds one to the total of a kind and value, such as ("closed", CloseCause.NO_ROOM)."""
         self.totals[f"{kind}.{value}"] += 1
 
     def longest(self, name, span_ns):
-        """Keeps the longest span under a name since the last report, in milliseconds; 0 and less is none."""
+        """Keeps the longest duration of that name since the last report, in milliseconds; zero and negative
+        ones are ignored."""
         if span_ns > 0:
             self.longest_ms[name] = max(self.longest_ms.get(name, 0.0), round(span_ns / 1e6, 1))
 
     def take_report(self):
-        """The totals where one has changed since the last report, else None; the longest spans begin anew."""
+        """The longest durations and the totals if a total has changed since the last report, else None. A
+        report resets the longest durations."""
         if self.totals == self.reported:
             return None
         self.reported = self.totals.copy()
--- a/courseroute/state/roster.py
+++ b/courseroute/state/roster.py
@@ -1,7 +1,8 @@
-"""The list of hosts as last told, kept in the relay's folder for a restart while the directory is away.
+"""The last known list of endpoints, saved in the relay's folder for a restart while discovery is unavailable.
 
-Called by `run.relay`, for installations of one's own; the platform hands each start the list itself. The file
-is written beside and renamed, so that it is never half written; one that can't be read counts as none.
+Used by `run.relay` in installations of one's own; the platform passes the list to each start itself. The file
+is written under a temporary name and renamed, so that it is never partly written; a file that cannot be read
+counts as missing.
 """
 
 import contextlib
@@ -9,52 +10,55 @@
 
 import orjson
 
-STATES = {"ready": "active", "draining": "leaving"}
-FIELDS = ("zone", "weight", "type", "group")
+STATUS_OF_STATE = {"ready": "active", "draining": "leaving"}
+CACHED_FIELDS = ("zone", "weight", "type", "group")
 
 
 class Roster:
-    def __init__(self, folder, most):
-        """`most`: bytes the file may have; a longer list is not kept."""
-        self.path, self.most = os.path.join(folder, "list"), most
-        self.told, self.written = {}, None
+    """The saved list: `endpoints` maps each name to its fields in discovery's form."""
+
+    def __init__(self, folder, max_bytes):
+        """`max_bytes`: a longer file is neither written nor read."""
+        self.path, self.max_bytes = os.path.join(folder, "list"), max_bytes
+        self.endpoints, self.last_written = {}, None
 
     def read(self):
-        """The list in discovery's form, None where there is none."""
+        """The saved list in discovery's form, None where there is none."""
         try:
             with open(self.path, "rb") as file:
-                told = orjson.loads(file.read(self.most + 1))
-            return told if isinstance(told, dict) else None
+                saved = orjson.loads(file.read(self.max_bytes + 1))
+            return saved if isinstance(saved, dict) else None
         except (OSError, ValueError):
             return None
 
     def keep(self, scope, entries, where):
-        """Learns news and writes it at once: a process killed right behind it must not forget a drain."""
+        """Applies an update and saves it at once: a process killed right after it must not forget a drain."""
         self.learn(scope, entries, where)
         if entries:
             self.write()
 
     def learn(self, scope, entries, where):
-        """News as `Discovery.learn` has them; entries are (name, state, area, rate, kind, destination)."""
+        """Applies an update as in `Discovery.learn`. Entries are (name, state, zone, rate, kind,
+        destination), `where` maps names to addresses."""
         if scope == "full":
-            self.told.clear()
-        for name, state, area, rate, kind, dst in entries:
-            if state not in STATES:
-                self.told.pop(name, None)
+            self.endpoints.clear()
+        for name, state, zone, rate, kind, destination in entries:
+            if state not in STATUS_OF_STATE:
+                self.endpoints.pop(name, None)
                 continue
-            place = where.get(name) or self.told.get(name, {}).get("place")
-            self.told[name] = {
-                "status": STATES[state],
+            place = where.get(name) or self.endpoints.get(name, {}).get("place")
+            self.endpoints[name] = {
+                "status": STATUS_OF_STATE[state],
                 "place": place,
-                "zone": area,
+                "zone": zone,
                 "weight": rate,
                 "type": kind,
-                "group": dst,
+                "group": destination,
             }
 
     def write(self):
-        """Keeps the list where it changed; a folder that can't be written costs the list, nothing else. What
-        its answer is: whether it wrote."""
+        """Saves the list if it changed and returns whether it wrote. A write that fails leaves no partial
+        file and is not reported: the relay works without the saved list."""
         data = orjson.dumps(
             {
                 "index": 1,
@@ -64,20 +68,20 @@
                         "name": name,
                         "address": "{}:{}".format(*one["place"]),
                         "status": one["status"],
-                        **{field: one[field] for field in FIELDS},
+                        **{field: one[field] for field in CACHED_FIELDS},
                     }
-                    for name, one in self.told.items()
+                    for name, one in self.endpoints.items()
                     if one["place"]
                 ],
             }
         )
-        if data == self.written or not self.told or len(data) > self.most:
+        if data == self.last_written or not self.endpoints or len(data) > self.max_bytes:
             return False
         with contextlib.suppress(OSError):
             with open(self.path + ".new", "wb") as file:
                 file.write(data)
             os.replace(self.path + ".new", self.path)
-            self.written = data
+            self.last_written = data
             return True
         with contextlib.suppress(OSError):
             os.unlink(self.path + ".new")
