--- a/courseroute/state/desk.py
+++ b/courseroute/state/desk.py
@@ -1,7 +1,9 @@
-"""The messages held, and the one place where the module is told and what it answers is done.
+"""Keeps all messages in memory and connects the dispatcher with the journal and the network drivers.
 
-A message is written to the log before its 202, a call before it leaves, an end as soon as it is known.
-What the module decides for a message not promised yet becomes the answer to its client; later a notice.
+Every event is passed to the dispatcher here, and every action it returns is executed here. A message is
+written to the journal before its 202 is sent, an attempt before its request is sent, and a final state as
+soon as it is known. What the dispatcher decides before a message is acknowledged becomes the answer to its
+client; what it decides later is sent to the platform as a notice. Times are nanoseconds of the relay's clock.
 """
 
 import traceback
@@ -17,22 +19,25 @@
 from courseroute.wire import words
 
 MS = 1_000_000
-LEG, NOTICE, END = 160, 80, 40  # bytes of such a record in the log, beside the message's name
+# Bytes that such a record takes in the journal, in addition to the message's name.
+ATTEMPT_RECORD_BYTES, NOTICE_RECORD_BYTES, END_RECORD_BYTES = 160, 80, 40
 
 
-class Held:
+class HeldMessage:
+    """A message that has no final state yet, with its attempts."""
+
     __slots__ = (
         "name",
         "dst",
         "lane",
         "deadline",
         "body",
-        "mark",
+        "idempotency_key",
         "key",
         "customer",
         "again",
         "at",
-        "promised",
+        "persisted",
         "legs",
         "ending",
         "size",
@@ -40,16 +45,17 @@
         "answer_by",
     )
 
-    def __init__(self, name, dst, lane, deadline, body, mark, key, customer, again, at=0):
+    def __init__(self, name, dst, lane, deadline, body, idempotency_key, key, customer, again, at=0):
         self.name, self.dst, self.lane, self.deadline, self.body = name, dst, lane, deadline, body
-        self.mark, self.key, self.customer, self.again = mark, key, customer, again
-        self.at = at  # taken on: the order among those of one key
-        self.promised, self.legs, self.ending = False, [], None  # legs: [host, sent at, ending or None]
-        self.size = 0  # in the log, with room for all its legs
-        self.answer_by = deadline  # when its final answer has to be begun, to arrive before the deadline
-        self.unread = 0  # how long its request had lain unread, in nanoseconds; not kept in the log
+        self.idempotency_key, self.key, self.customer, self.again = idempotency_key, key, customer, again
+        self.at = at  # time of acceptance; messages with the same ordering key are sent in this order
+        self.persisted, self.legs, self.ending = False, [], None  # legs: [host, sent at, ending or None]
+        self.size = 0  # bytes reserved in the journal, including the records of all possible attempts
+        self.answer_by = deadline  # when its final answer must be started, to arrive before the deadline
+        self.unread = 0  # nanoseconds its request waited in the socket; not written to the journal
 
     def record(self):
+        """The journal record of its acceptance."""
         return record(
             records.TAKEN,
             [
@@ -57,7 +63,7 @@
                 self.dst,
                 self.lane,
                 self.deadline,
-                self.mark,
+                self.idempotency_key,
                 self.key,
                 self.customer,
                 self.again,
@@ -67,6 +73,7 @@
         )
 
     def records(self):
+        """The journal records of its acceptance and of all its attempts."""
         return [
             self.record(),
             *(
@@ -77,72 +84,82 @@
 
 
 class Desk:
+    """The coordinator of one relay. `run.relay` sets the drivers and callbacks that are None at first.
+
+    `house` holds the relay's resource limits, `memory` the bytes that the process may use, `say` writes a log
+    event.
+    """
+
     def __init__(self, dispatcher, terms, house, log, memory, clock, say):
         self.dispatcher, self.terms, self.house, self.log = dispatcher, terms, house, log
         self.clock, self.say, self.memory = clock, say, int(memory * house["held"])
-        self.held, self.owed = {}, {}
+        self.held, self.owed = {}, {}  # name -> HeldMessage; name -> (state, delay) of a pending notice
         self.ends = OrderedDict()  # name -> delivered, returned, failed or over
         self.hosts = self.notices = self.discovery = self.alarm = self.leave = self.see_off = None
-        self.waiting, self.telling, self.ready = deque(), False, False
-        self.unread_for = lambda: 0  # how long a request may have waited until it was read
+        self.queued_events, self.dispatching, self.ready = deque(), False, False
+        self.unread_for = lambda: 0  # upper bound of the time a request waited before it was read
         self.syncer = None
-        self.learned = None  # the file of what the module knows of the hosts
-        self.bytes = 0
-        self.deadlines = {}  # of messages whose notices are owed, those of this life
-        self.withheld = {}  # ends not told yet, as they are not written: name -> answer_by
-        self.unwritten = {}  # name -> kind of the end's record that is still to be written
-        self.full = None
+        self.learned = None  # the file that keeps what the dispatcher has learned of the hosts
+        self.reserved_bytes = 0
+        self.notice_deadlines = {}  # of messages closed by this process whose notices are pending
+        self.unannounced = {}  # final states held back because they are not written yet: name -> answer_by
+        self.unwritten = {}  # name -> kind of the record of its final state that is still to be written
+        self.full_since = None
         self.figures = Figures()
         log.refresh, log.remembered = self.live_records, self.ends.__contains__
 
     # Clients.
 
-    def answer(self, request, gone, unread=0):
-        """(status, headers, body), the answer to a request whose last byte came `unread` nanoseconds ago."""
+    def handle_request(self, request, gone, unread=0):
+        """The answer to a client's request: (status, headers, body).
+
+        `gone`: the client has closed its side. `unread`: nanoseconds since the request's last byte arrived.
+        """
         if request.target in ("/ready", "/health"):
             return (200 if self.ready or request.target == "/health" else 503), (), b""
         try:
-            told = words.notice_of(request, self.terms["lanes"], self.house["name"])
+            fields = words.notice_of(request, self.terms["lanes"], self.house["name"])
         except words.Refused as cause:
             return cause.status, (), f"{cause}\n".encode()
-        status, after = self.take(told, gone, unread)
+        status, after = self.take(fields, gone, unread)
         return status, ([("Retry-After", f"{after / 1e9:.3f}")] if after else ()), b""
 
-    def take(self, told, gone, unread=0):
-        name = told["name"]
-        if name in self.held:  # handed in once more, as its answer may have been lost
+    def take(self, fields, gone, unread=0):
+        """Accepts or rejects a message with the fields of `words.notice_of`: (status, retry delay)."""
+        name = fields["name"]
+        if name in self.held:  # a repeated request: the answer to the first may have been lost
             return 202, 0
         if name in self.ends:
             return {"delivered": 200, "returned": 503}.get(self.ends[name], 500), 0
         now = self.clock()
-        unread = max(unread, self.unread_for())  # the system may not tell the first
-        deadline = now + told["left"] - unread
-        msg = Held(
+        unread = max(unread, self.unread_for())  # the kernel may not report the former
+        deadline = now + fields["left"] - unread
+        msg = HeldMessage(
             name,
-            told["dst"],
-            told["lane"],
+            fields["dst"],
+            fields["lane"],
             deadline,
-            bytes(told["body"]),
-            told["mark"],
-            told["key"] or None,
-            told["customer"],
-            told["again"],
+            bytes(fields["body"]),
+            fields["mark"],
+            fields["key"] or None,
+            fields["customer"],
+            fields["again"],
             now,
         )
         msg.unread, msg.answer_by = unread, self.answer_by(msg)
         self.figures.longest("request_unread_ms", unread)
-        if cause := self.why_refused(msg, gone):
+        if cause := self.refusal_cause(msg, gone):
             self.figures.count("closed", cause)
             return 503, 0
         self.held[name] = msg
-        self.count(msg.size)
+        self.reserve(msg.size)
         self.tell("take", name, msg.dst, msg.lane, msg.answer_by, msg.key, msg.customer, msg.again)
         if msg.ending is None:
             try:
-                self.promise(msg)
+                self.persist(msg)
             except Full as cause:
-                self.fault(cause)
-                self.forget(msg, None)
+                self.log_write_failure(cause)
+                self.remove(msg, None)
                 self.figures.count("closed", CloseCause.NOT_WRITTEN)
                 self.tell("withdraw", name)
                 return 503, 0
@@ -152,58 +169,70 @@
         return {"delivered": 202, "returned": 503}.get(state, 500), after
 
     def answer_by(self, msg):
+        """When the message's final answer must be started."""
         return answer_by(msg.at, msg.deadline, self.terms["lanes"].get(msg.lane, {}).get("deadline"))
 
-    def why_refused(self, msg, gone):
-        """The CloseCause that turns a message away before the decisions are asked, else None."""
+    def refusal_cause(self, msg, gone):
+        """The CloseCause that rejects a message before the dispatcher is asked, else None."""
         if gone:
             return CloseCause.CLIENT_GONE
         if not self.ready:
             return CloseCause.NOT_READY
-        return None if self.room(self.measure(msg)) else CloseCause.NO_ROOM
-
-    def room(self, size):
-        fits = self.log.room(size) and self.bytes + size <= self.memory
-        if fits != (self.full is None):
-            self.full = None if fits else self.clock()
-            self.say("room again" if fits else "full", held=len(self.held), bytes=self.bytes)
+        return None if self.has_room(self.measure(msg)) else CloseCause.NO_ROOM
+
+    def has_room(self, size):
+        """Whether journal and memory have room for `size` more bytes; logs each change from room to none."""
+        fits = self.log.room(size) and self.reserved_bytes + size <= self.memory
+        if fits != (self.full_since is None):
+            self.full_since = None if fits else self.clock()
+            self.say("room again" if fits else "full", held=len(self.held), bytes=self.reserved_bytes)
         return fits
 
     def measure(self, msg):
-        msg.size = len(msg.record()) + self.terms.get("legs", self.house["legs"]) * (LEG + len(msg.name))
+        """Computes the bytes to be reserved for a message and all its possible attempts."""
+        msg.size = len(msg.record()) + self.terms.get("legs", self.house["legs"]) * (
+            ATTEMPT_RECORD_BYTES + len(msg.name)
+        )
         return msg.size
 
-    def count(self, size):
-        self.bytes += size
+    def reserve(self, size):
+        """Adds to the bytes reserved in the journal; a negative size releases them."""
+        self.reserved_bytes += size
         self.log.live += size
 
-    def promise(self, msg, *calls):
-        """Writes that it is taken on, where that is not written yet, and a call about to leave, in one go."""
-        fresh, msg.promised = not msg.promised, True
+    def persist(self, msg, *attempts):
+        """Writes the record of acceptance, unless it is written already, and those of attempts that are about
+        to be sent, in one write. Raises Full where that fails."""
+        fresh, msg.persisted = not msg.persisted, True
         try:
-            self.log.write(*([msg.record()] if fresh else ()), *calls)
+            self.log.write(*([msg.record()] if fresh else ()), *attempts)
         except Full:
-            msg.promised = not fresh
+            msg.persisted = not fresh
             raise
 
-    def fault(self, cause):
+    def log_write_failure(self, cause):
         self.say("journal cannot be written", error=str(cause)[:200], size=self.log.size, live=self.log.live)
 
     async def settled(self):
-        """What was written is as safe as the settings ask."""
+        """Returns once all that was written is synced as far as the settings ask for."""
         if self.syncer is not None:
             await self.syncer.settled()
 
     # Hosts.
 
     def returned(self, name, n, host, ending, wait, over, took, report, idle=None):
+        """Records how the n-th attempt of a message ended, and tells the dispatcher.
+
+        `wait`: delay that the host asked for, in nanoseconds; `over`: no further attempt may follow; `took`:
+        duration of the attempt; `report`: the host's load report or None; `idle`: how long its connection had
+        been idle, None for a new one."""
         msg = self.held.get(name)
         if msg is not None:
             msg.legs[n][2] = ending
             if over:
                 self.finish(msg, "delivered" if ending == "delivered" else "over")
             else:
-                self.note(record(records.BACK, [name, n, ending]))
+                self.try_write(record(records.BACK, [name, n, ending]))
         self.tell("outcome", name, n, host, ending, took, wait, report, over or msg is None, idle)
 
     def fresh_for(self):
@@ -218,26 +247,28 @@
     def first_may_have_run(self, name, n):
         return self.dispatcher.first_may_have_run(name, n)
 
-    def note(self, *parts):
-        """A record that the next life goes by; one that can't be written is told, an end is tried again."""
+    def try_write(self, *parts):
+        """Writes records that the next process needs; returns whether that worked. A failure is logged, and
+        the record of a final state is written later by `write_late`."""
         try:
             self.log.write(*parts)
             return True
         except Full as cause:
             self.unwritten.update((part.told[0], part.kind) for part in parts if part.kind != records.BACK)
-            self.fault(cause)
+            self.log_write_failure(cause)
             return False
 
-    def is_last_call(self, answer_by):
-        """Whether an end that is not written is told all the same: it is due, and a next life, which does not
-        know it, would send the message no more."""
+    def must_announce_now(self, answer_by):
+        """Whether a final state is announced although it is not written: its answer is due, and a restarted
+        process that does not know of it would have no time left to send the message."""
         return self.clock() >= answer_by - self.house["sweep"]
 
     def write_late(self):
-        """Ends that could not be written when they came: without them a next life would send once more."""
-        for name, due in list(self.withheld.items()):
-            if self.is_last_call(due):
-                self.tell_platform(name)
+        """Retries to write the final states whose first write failed: without them a restarted process would
+        send the messages again."""
+        for name, due in list(self.unannounced.items()):
+            if self.must_announce_now(due):
+                self.queue_notice(name)
         for name, kind in list(self.unwritten.items()):
             parts = (
                 self.live_records(name)
@@ -247,52 +278,56 @@
             try:
                 self.log.write(*parts)
                 del self.unwritten[name]
-                self.tell_platform(name)
+                self.queue_notice(name)
             except Full:
                 return
 
-    # The module.
+    # The dispatcher.
 
-    def tell(self, what, *told):
-        """One thing told is one batch. Told while another is carried out, it waits for its turn."""
-        self.waiting.append((what, told))
-        if self.telling:
+    def tell(self, method, *args):
+        """Calls a method of the dispatcher and executes the actions it returns. Each event is a batch of its
+        own; one that arrives while another's actions are executed is queued behind it."""
+        self.queued_events.append((method, args))
+        if self.dispatching:
             return
-        self.telling = True
+        self.dispatching = True
         try:
-            while self.waiting:
-                what, told = self.waiting.popleft()
-                for act in self.decide(self.clock(), what, told):
-                    self.guarded(self.carry_out, act)
+            while self.queued_events:
+                method, args = self.queued_events.popleft()
+                for action in self.decide(self.clock(), method, args):
+                    self.guarded(self.execute, action)
         finally:
-            self.telling = False
+            self.dispatching = False
 
-    def decide(self, now, what, told):
-        acts = []
-        for method, args in ((what, told), ("settle", ())):
+    def decide(self, now, event, event_args):
+        """The actions that follow from an event. A dispatcher method that raises gives a wake-up instead."""
+        actions = []
+        for method, args in ((event, event_args), ("settle", ())):
             more = self.guarded(getattr(self.dispatcher, method), now, *args)
-            acts += [("wake", self.house["sweep"])] if more is None else more
-        return acts
+            actions += [("wake", self.house["sweep"])] if more is None else more
+        return actions
 
-    def guarded(self, what, *told):
-        """A fault in one decision must not end the relay with all it holds; a wake-up soon goes on."""
+    def guarded(self, function, *args):
+        """Calls a function; an exception is logged and gives None, so that one faulty decision does not stop
+        the relay and lose its messages."""
         try:
-            return what(*told)
+            return function(*args)
         except Exception:
-            self.say("fault", at=what.__name__, trace=traceback.format_exc()[-1500:])
+            self.say("fault", at=function.__name__, trace=traceback.format_exc()[-1500:])
             return None
 
-    def carry_out(self, act):
-        getattr(self, "do_" + act[0].replace(" ", "_"))(*act[1:])
+    def execute(self, action):
+        """Executes an action of the dispatcher: ("push back", ...) calls `do_push_back(...)`."""
+        getattr(self, "do_" + action[0].replace(" ", "_"))(*action[1:])
 
     def do_send(self, name, host, until):
         msg, now = self.held[name], self.clock()
         n = len(msg.legs)
         msg.legs.append([host, now, None])
         try:
-            self.promise(msg, record(records.CALL, [name, n, host, now, None]))
-        except Full as cause:  # what can't be written must not leave
-            self.fault(cause)
+            self.persist(msg, record(records.CALL, [name, n, host, now, None]))
+        except Full as cause:  # an attempt that is not in the journal must not be sent
+            self.log_write_failure(cause)
             self.hosts.unsent(msg, n, host)
             return
         self.hosts.call(msg, n, host, until)
@@ -313,7 +348,7 @@
         self.alarm(delay)
 
     def do_watch(self, wait):
-        self.discovery.ask(wait)
+        self.discovery.request_list(wait)
 
     def do_log(self, text):
         self.say(text)
@@ -324,16 +359,18 @@
     def do_exit(self):
         self.leave()
 
-    # Ends.
+    # Final states.
 
     def end(self, name, state, after, cause):
+        """Closes a message without a delivery. `after`: nanoseconds that its client shall wait before it
+        tries again. A message that is not acknowledged yet gets the state as its answer, else a notice."""
         msg = self.held.get(name)
         if msg is None:
             return
         msg.ending = state, after
         self.figures.count("closed", cause)
-        if not msg.promised:  # its client still waits: the answer tells it
-            self.forget(msg, state)
+        if not msg.persisted:  # its client still waits for the answer, which reports the state
+            self.remove(msg, state)
             return
         self.say(
             "message closed",
@@ -347,28 +384,32 @@
             unread_ms=msg.unread // MS,
         )
         self.owed[name] = state, after
-        self.deadlines[name] = msg.deadline
-        self.count(NOTICE + len(name))
-        self.forget(msg, state)  # first: the note may compact the log, and must not bring it back
-        self.withheld[name] = msg.answer_by
-        if self.note(record(records.OWED, [name, state, after])) or self.is_last_call(msg.answer_by):
-            self.tell_platform(name)
-
-    def tell_platform(self, name):
-        """Once its end is written: a life that knows nothing of it would send a message that is over."""
-        if self.withheld.pop(name, None) is not None:
-            self.notices.owe(name, *self.owed[name])
+        self.notice_deadlines[name] = msg.deadline
+        self.reserve(NOTICE_RECORD_BYTES + len(name))
+        # Removed before the write, which may compact the journal and must not copy the message then.
+        self.remove(msg, state)
+        self.unannounced[name] = msg.answer_by
+        if self.try_write(record(records.OWED, [name, state, after])) or self.must_announce_now(
+            msg.answer_by
+        ):
+            self.queue_notice(name)
+
+    def queue_notice(self, name):
+        """Queues the notice of a final state. This waits for the state to be written: a restarted process
+        that does not know of it would send a closed message."""
+        if self.unannounced.pop(name, None) is not None:
+            self.notices.add(name, *self.owed[name])
 
     def told_of(self, names):
-        """Notices that the platform has."""
+        """Records that the platform has accepted these messages' notices."""
         for name in names:
-            self.note_told(name, self.deadlines.pop(name, None))
-        self.count(-sum(NOTICE + len(name) for name in names))
-        self.note(*(self.log.over(name, self.owed.pop(name)[0]) for name in names))
+            self.record_notice(name, self.notice_deadlines.pop(name, None))
+        self.reserve(-sum(NOTICE_RECORD_BYTES + len(name) for name in names))
+        self.try_write(*(self.log.over(name, self.owed.pop(name)[0]) for name in names))
 
-    def note_told(self, name, deadline):
-        """Counts a notice by whether it was told before its deadline; logs one that was not."""
-        if deadline is None:  # owed since an earlier life
+    def record_notice(self, name, deadline):
+        """Counts an accepted notice as in time or late; logs a late one."""
+        if deadline is None:  # pending since an earlier process
             self.figures.count("notices", "of an earlier life")
             return
         late = self.clock() - deadline
@@ -378,76 +419,81 @@
             self.say("notice behind its deadline", id=name, late_ms=late // MS)
 
     def finish(self, msg, state):
+        """Closes a message that needs no notice: delivered, or over."""
         msg.ending = state, 0
         self.figures.count("messages", state)
-        self.forget(msg, state)
-        if msg.promised:
-            self.note(self.log.over(msg.name, state))
+        self.remove(msg, state)
+        if msg.persisted:
+            self.try_write(self.log.over(msg.name, state))
 
-    def forget(self, msg, state):
+    def remove(self, msg, state):
+        """Drops a message from memory; its state, unless None, is remembered."""
         del self.held[msg.name]
-        self.count(-msg.size)
+        self.reserve(-msg.size)
         if state:
-            self.remember(msg.name, state)
+            self.remember_end(msg.name, state)
 
-    def remember(self, name, state):
-        """Recent ends answer a message that is handed in once more."""
+    def remember_end(self, name, state):
+        """Keeps a recent final state, which answers a client that sends the message again."""
         if name not in self.ends:
-            self.count(END + len(name))
+            self.reserve(END_RECORD_BYTES + len(name))
         self.ends[name] = state
         while len(self.ends) > self.house["ends"]:
-            old, _ = self.ends.popitem(last=False)
-            self.count(-END - len(old))
+            oldest, _ = self.ends.popitem(last=False)
+            self.reserve(-END_RECORD_BYTES - len(oldest))
 
-    # The log.
+    # The journal.
 
     def keep_lessons(self):
-        """Writes what the module's next life is to know, where it changed."""
-        told = self.guarded(self.dispatcher.memory, self.clock())
-        if told is not None and self.learned is not None:
+        """Saves what the dispatcher has learned for the next process, if it changed."""
+        learned = self.guarded(self.dispatcher.memory, self.clock())
+        if learned is not None and self.learned is not None:
             try:
-                self.learned.keep(told, self.clock())
+                self.learned.keep(learned, self.clock())
             except OSError as cause:
-                self.fault(cause)
+                self.log_write_failure(cause)
 
     def live_records(self, name):
-        """What the journal must keep of a message: all of it while it is held, its end while that is owed."""
+        """The records that the journal must keep of a message: all of them while it has no final state, that
+        of its state while the notice is pending or the state is remembered."""
         if name in self.owed:
             state, after = self.owed[name]
             return [record(records.OWED, [name, state, after])]
         if msg := self.held.get(name):
-            return msg.records() if msg.promised else []
+            return msg.records() if msg.persisted else []
         return [self.log.over(name, self.ends[name])] if name in self.ends else []
 
     def recover(self, same_clock=True):
-        """Reads the log back: what is owed its end is told to the module, which decides on each. Without the
-        clock of the earlier lives nobody knows how long ago an attempt was: its window counts as over, and
-        what was learned is used only where it seems fresh."""
+        """Restores the messages of earlier processes from the journal: queues pending notices, and passes
+        each open message to the dispatcher. Where the clock does not continue that of the earlier processes
+        (`same_clock` is false) the age of an attempt is unknown: its idempotency window counts as closed, and
+        learned state is used only if its time stamp is recent on the new clock too."""
         replay = Replay(self.house["ends"])
-        for kind, told, body in self.log.read():
+        for kind, fields, body in self.log.read():
             if kind == DAMAGE:
-                self.say("journal damaged", segment=told.segment, at=told.at, bytes=told.size)
+                self.say("journal damaged", segment=fields.segment, at=fields.at, bytes=fields.size)
                 replay.damage()
             else:
-                replay.feed(kind, told, body)
+                replay.feed(kind, fields, body)
         replay.finish()
         self.owed = replay.owed
         for name, state in replay.ends.items():
-            self.remember(name, state)
+            self.remember_end(name, state)
         for name, kept in replay.held.items():
-            msg = self.held[name] = Held(name, *kept.told[1:4], kept.body, *kept.told[4:])
-            msg.promised, msg.legs, msg.answer_by = True, kept.legs, self.answer_by(msg)
+            msg = self.held[name] = HeldMessage(name, *kept.told[1:4], kept.body, *kept.told[4:])
+            msg.persisted, msg.legs, msg.answer_by = True, kept.legs, self.answer_by(msg)
             if not same_clock:
                 msg.legs = [[host, 0, ending] for host, _, ending in msg.legs]
-            self.count(self.measure(msg))
-        self.count(sum(NOTICE + len(name) for name in self.owed))
+            self.reserve(self.measure(msg))
+        self.reserve(sum(NOTICE_RECORD_BYTES + len(name) for name in self.owed))
         for name, (state, after) in self.owed.items():
-            self.notices.owe(name, state, after)
+            self.notices.add(name, state, after)
         if self.learned is not None:
-            told, at = self.learned.read()
-            if told and (same_clock or 0 <= self.clock() - at <= self.house["learned_for"]):
-                self.tell("recall", told, at)
-        for msg in sorted(self.held.values(), key=lambda msg: msg.at):  # copies stand behind younger ones
+            learned, at = self.learned.read()
+            if learned and (same_clock or 0 <= self.clock() - at <= self.house["learned_for"]):
+                self.tell("recall", learned, at)
+        # In order of acceptance: the journal holds compacted copies behind messages accepted later.
+        for msg in sorted(self.held.values(), key=lambda msg: msg.at):
             self.tell(
                 "take",
                 msg.name,
--- a/courseroute/state/pool.py
+++ b/courseroute/state/pool.py
@@ -1,102 +1,118 @@
-"""Connections to hosts that stand idle between calls; bounded, those in use counted too."""
+"""A bounded pool of connections to hosts. It keeps the idle ones for reuse and counts those in use."""
 
 from typing import NamedTuple
 
 from courseroute.model.causes import ConnectionEnd
-from courseroute.wire.link import REST_NS, Link
-from courseroute.wire.unread import unread
+from courseroute.wire.link import QUIET_PERIOD_NS, Link
+from courseroute.wire.unread import peek_unread
 
 
-class Kept(NamedTuple):
-    """An idle connection, since when it is one, and when it has rested; nanoseconds of the pool's clock."""
+class IdleConnection(NamedTuple):
+    """An idle connection, when it became idle, and from when it may be used again.
+
+    Times are nanoseconds of the pool's clock.
+    """
 
     link: Link
     since: int
-    rested_at: int
+    usable_at: int
 
 
 class Pool:
-    """`closed(link, cause, waiting)` is told each connection that the pool closes; `waiting` are the bytes
-    found unread on it, if any."""
-
-    def __init__(self, most, keep_for, clock, fresh_for):
-        self.most, self.keep_for, self.clock = most, keep_for, clock
-        self.fresh_for = fresh_for  # a method that tells how long one may have stood idle
-        self.closed = lambda link, cause, waiting=b"": None
-        self.open = 0
-        self.kept = {}  # host -> its Kept, the newest last
-
-    def enter(self):
-        """Room for one more connection; an idle one gives way. False when all are in use."""
-        if self.open >= self.most:
-            oldest = min(((kept[0].since, host) for host, kept in self.kept.items()), default=None)
+    """Connections to all hosts, at most `max_open` at once.
+
+    An idle connection is closed after `idle_timeout` nanoseconds; `fresh_for()` gives the time after which it
+    must not be used again. `on_closed(link, cause, waiting)` is called for each connection that the pool
+    closes; `waiting` are the bytes found unread on it, if any.
+    """
+
+    def __init__(self, max_open, idle_timeout, clock, fresh_for):
+        self.max_open, self.idle_timeout, self.clock = max_open, idle_timeout, clock
+        self.fresh_for = fresh_for
+        self.on_closed = lambda link, cause, waiting=b"": None
+        self.open_count = 0  # idle ones and those in use
+        self.idle = {}  # host -> its IdleConnections, the newest last
+
+    def reserve(self):
+        """Counts one more connection, closing the one that has been idle for longest if the pool is full.
+        False where all are in use."""
+        if self.open_count >= self.max_open:
+            oldest = min(((idle[0].since, host) for host, idle in self.idle.items()), default=None)
             if oldest is None:
                 return False
-            self.drop(self.take(oldest[1], 0).link, ConnectionEnd.ROOM_NEEDED)
-        self.open += 1
+            self.discard(self.pop_idle(oldest[1], 0).link, ConnectionEnd.ROOM_NEEDED)
+        self.open_count += 1
         return True
 
-    def leave(self):
-        self.open -= 1
-
-    def take(self, host, at):
-        kept = self.kept[host].pop(at)
-        if not self.kept[host]:
-            del self.kept[host]
-        return kept
-
-    def idle(self, host):
-        """The newest idle connection that has rested and still stands, and its idle time, else (None, None).
-        A dead one would lose the call. On one used at once a second copy of its last answer, which comes a
-        little later, would be taken for the answer to the next call."""
-        while (at := self.newest_rested(host)) is not None:
-            link, since, _ = self.take(host, at)
-            idle = self.clock() - since
-            if idle >= min(self.keep_for, self.fresh_for()):
-                self.drop(link, ConnectionEnd.IDLE_FOR_LONG)
-            elif self.drop_unless_quiet(link):
-                return link, idle
+    def release(self):
+        """Counts one connection less."""
+        self.open_count -= 1
+
+    def pop_idle(self, host, index):
+        connection = self.idle[host].pop(index)
+        if not self.idle[host]:
+            del self.idle[host]
+        return connection
+
+    def take_idle(self, host):
+        """(connection, idle time) of the newest idle connection whose quiet period is over and that is still
+        open, else (None, None).
+
+        A closed connection would lose the call. On a connection used at once, a late duplicate of its last
+        answer would be taken for the answer to the next call.
+        """
+        while (index := self.newest_usable(host)) is not None:
+            link, since, _ = self.pop_idle(host, index)
+            idle_time = self.clock() - since
+            if idle_time >= min(self.idle_timeout, self.fresh_for()):
+                self.discard(link, ConnectionEnd.IDLE_FOR_LONG)
+            elif self.discard_unless_quiet(link):
+                return link, idle_time
         return None, None
 
-    def newest_rested(self, host):
-        """Its place among those kept to the host, None where there is none."""
+    def newest_usable(self, host):
+        """The index of the newest idle connection whose quiet period is over, None where there is none."""
         now = self.clock()
-        rested = [at for at, kept in enumerate(self.kept.get(host, ())) if kept.rested_at <= now]
-        return rested[-1] if rested else None
+        usable = [index for index, idle in enumerate(self.idle.get(host, ())) if idle.usable_at <= now]
+        return usable[-1] if usable else None
 
-    def keep(self, host, link, rest=REST_NS):
+    def add_idle(self, host, link, quiet_period=QUIET_PERIOD_NS):
+        """Keeps a connection for reuse, not before its quiet period is over."""
         now = self.clock()
-        self.kept.setdefault(host, []).append(Kept(link, now, now + rest))
+        self.idle.setdefault(host, []).append(IdleConnection(link, now, now + quiet_period))
 
-    def drop(self, link, cause, waiting=b""):
-        self.leave()
+    def discard(self, link, cause, waiting=b""):
+        """Closes a connection and counts it no longer."""
+        self.release()
         link.close()
-        self.closed(link, cause, waiting)
+        self.on_closed(link, cause, waiting)
 
-    def drop_unless_quiet(self, link):
-        """Whether the connection stands and nothing came on it; else it is closed."""
-        waiting = unread(link.socket)
+    def discard_unless_quiet(self, link):
+        """Whether the connection is open and has nothing to read; otherwise it is closed."""
+        waiting = peek_unread(link.socket)
         if waiting is None:
             return True
-        self.drop(
+        self.discard(
             link, ConnectionEnd.BYTES_BEHIND_ANSWER if waiting else ConnectionEnd.ENDED_BY_HOST, waiting
         )
         return False
 
-    def close(self, host):
+    def close_idle(self, host):
         """Closes all idle connections to a host."""
-        while host in self.kept:
-            self.drop(self.take(host, 0).link, ConnectionEnd.NOT_TRUSTED)
+        while host in self.idle:
+            self.discard(self.pop_idle(host, 0).link, ConnectionEnd.NOT_TRUSTED)
 
     def sweep(self):
-        """Closes what stood idle for long, was closed by its host, or brought bytes that nobody asked for."""
-        for host in list(self.kept):
-            standing = [kept for kept in self.kept.pop(host) if self.still_stands(kept)]
-            if standing:
-                self.kept[host] = standing
-
-    def still_stands(self, kept):
-        if self.clock() - kept.since >= self.keep_for:
-            self.drop(kept.link, ConnectionEnd.IDLE_FOR_LONG)
+        """Closes idle connections that timed out, were closed by the host, or have unexpected bytes to
+        read."""
+        for host in list(self.idle):
+            usable = [idle for idle in self.idle.pop(host) if self.check_idle(idle)]
+            if usable:
+                self.idle[host] = usable
+
+    def check_idle(self, idle):
+        """Whether an idle connection may be kept; otherwise it is closed."""
+        if self.clock() - idle.since >= self.idle_timeout:
+            self.discard(idle.link, ConnectionEnd.IDLE_FOR_LONG)
             return False
-        return self.drop_unless_quiet(kept.link)
+        return self.discard_unless_quiet(idle.link)
--- a/courseroute/wire/clients.py
+++ b/courseroute/wire/clients.py
@@ -1,4 +1,4 @@
-"""Thin driver for the clients' connections: reads, feeds the machine, writes what it answers."""
+"""Serves the clients' connections: reads requests, passes them to the coordinator, writes its answers."""
 
 import errno
 import os
@@ -8,185 +8,218 @@
 import trio
 
 from courseroute.wire.http import Door, Refused
-from courseroute.wire.unread import since_last_byte
+from courseroute.wire.unread import ns_since_last_byte
 
-NO_RESOURCES = (errno.EMFILE, errno.ENFILE, errno.ENOMEM, errno.ENOBUFS)
-ACCEPT_AGAIN_AFTER_S = 0.05
+RESOURCE_ERRORS = (errno.EMFILE, errno.ENFILE, errno.ENOMEM, errno.ENOBUFS)
+ACCEPT_RETRY_S = 0.05
 
 
-class Guest:
-    """One connection, and where it stands."""
+class ClientConnection:
+    """A client's connection and its state."""
 
-    __slots__ = ("sock", "stream", "door", "scope", "since", "half", "asked", "last")
+    __slots__ = (
+        "sock",
+        "stream",
+        "http",
+        "read_scope",
+        "request_started",
+        "partial_bytes",
+        "has_sent_request",
+        "is_closing",
+    )
 
-    def __init__(self, sock, door):
-        self.sock, self.stream, self.door = sock, trio.SocketStream(sock), door
-        self.scope = trio.CancelScope()  # of the read it waits in
-        self.last = False  # it was given up: what was read of it is still answered, then it ends
-        self.since = trio.current_time()  # when its request began, a first one with the connection
-        self.half, self.asked = 0, False  # bytes of a half-read request; whether a whole one came yet
+    def __init__(self, sock, http):
+        self.sock, self.stream, self.http = sock, trio.SocketStream(sock), http
+        self.read_scope = trio.CancelScope()  # of the read under way
+        self.is_closing = False  # closed once the requests that were read already are answered
+        # When the current request started, the first one with the connection; None between requests.
+        self.request_started = trio.current_time()
+        self.partial_bytes, self.has_sent_request = 0, False  # of an incomplete request; a complete one came
 
 
 class Clients:
-    """Bounded: so many connections, so many bytes of half-read requests; a full house answers 503."""
+    """Limits the connections and the bytes of incomplete requests; beyond a limit requests get a 503.
 
-    def __init__(self, desk, house, listener, most, refusing, half_read, log):
+    `max_served` connections are served, `max_refused` more get a 503 for their request, further ones at once.
+    """
+
+    def __init__(self, desk, house, listener, max_served, max_refused, max_partial_bytes, log):
         self.desk, self.house, self.listener, self.log = desk, house, listener, log
-        self.most, self.refusing = most, refusing  # connections served, and those that hear a 503
-        self.left = half_read
-        self.within = house["read_within"] / 1e9, house["idle"] / 1e9
+        self.max_served, self.max_refused = max_served, max_refused
+        self.partial_bytes_left = max_partial_bytes
+        self.read_timeouts = house["read_within"] / 1e9, house["idle"] / 1e9  # in a request, between two
         self.open = set()
-        self.silent, self.idle = {}, {}  # guests who never asked, those between requests
+        # Connections waiting for their first request, and those waiting for another one; used as ordered
+        # sets.
+        self.silent, self.idle = {}, {}
         self.closing = False
-        self.full = self.lacks_resources = False
+        self.at_limit = self.lacks_resources = False
 
     async def serve(self):
+        """Accepts connections until the listener is closed."""
         async with trio.open_nursery() as nursery:
             while True:
                 try:
                     sock, _ = await self.listener.accept()
                 except OSError as cause:
-                    if cause.errno in NO_RESOURCES:
+                    if cause.errno in RESOURCE_ERRORS:
                         await self.wait_for_resources(cause)
                     continue
                 except trio.ClosedResourceError:
                     return
                 self.lacks_resources = False
-                nursery.start_soon(self.connection, sock)
+                nursery.start_soon(self.handle_connection, sock)
 
     async def wait_for_resources(self, cause):
+        """Waits before the next accept. Logs the first failure in a row."""
         if not self.lacks_resources:
             self.lacks_resources = True
             self.log("no descriptors for a client", error=str(cause))
-        await trio.sleep(ACCEPT_AGAIN_AFTER_S)
+        await trio.sleep(ACCEPT_RETRY_S)
 
-    async def connection(self, sock):
-        guest = Guest(sock, Door(self.house["head"], self.house["body"]))
+    async def handle_connection(self, sock):
+        connection = ClientConnection(sock, Door(self.house["head"], self.house["body"]))
         try:
-            await self.receive(guest)
+            await self.admit(connection)
         except (OSError, trio.BrokenResourceError, trio.ClosedResourceError):
             pass
-        except Exception as cause:  # a peer's odd bytes must cost its own connection only
+        except Exception as cause:  # unexpected input of one client must not affect other connections
             self.log("connection failed", error=repr(cause)[:300])
         finally:
-            self.hold(guest, 0)
-            self.forget(guest)
+            self.count_partial(connection, 0)
+            self.forget(connection)
             sock.close()
 
-    async def receive(self, guest):
-        """A connection beyond the bound gets a plain 503: for its request, or at once where far beyond it."""
-        extra = len(self.open) >= self.most and not self.give_up_waiting()
-        if extra and not self.full:
-            self.full = True
+    async def admit(self, connection):
+        """Serves a connection. One beyond the limit gets a 503 for its request, one far beyond it at once."""
+        is_extra = len(self.open) >= self.max_served and not self.evict_waiting()
+        if is_extra and not self.at_limit:
+            self.at_limit = True
             self.log("full of connections", open=len(self.open))
-        elif len(self.open) < self.most - self.refusing:
-            self.full = False
-        if len(self.open) >= self.most + self.refusing:
-            os.write(guest.sock.fileno(), guest.door.answer(503, close=True))  # sockets never block here
-            guest.sock.shutdown(socket.SHUT_WR)
+        elif len(self.open) < self.max_served - self.max_refused:
+            self.at_limit = False
+        if len(self.open) >= self.max_served + self.max_refused:
+            # Written without trio: the socket does not block.
+            os.write(connection.sock.fileno(), connection.http.answer(503, close=True))
+            connection.sock.shutdown(socket.SHUT_WR)
         else:
-            self.open.add(guest)
-            await self.talk(guest, extra)
-
-    def forget(self, guest):
-        self.silent.pop(guest, None)
-        self.idle.pop(guest, None)
-        self.open.discard(guest)
-
-    def give_up_waiting(self):
-        """Who waits longest without a word makes room, lest a silent crowd cost those who come to ask."""
-        return any(self.give_up(guest) for waiting in (self.silent, self.idle) for guest in list(waiting))
-
-    def give_up(self, guest):
-        """Ends a connection with nothing to be read; its client may ask again on another. Only the wait is
-        cancelled: bytes may be read already that its task has not come to look at."""
-        if seen(guest.sock, select.POLLIN):
+            self.open.add(connection)
+            await self.serve_requests(connection, is_extra)
+
+    def forget(self, connection):
+        self.silent.pop(connection, None)
+        self.idle.pop(connection, None)
+        self.open.discard(connection)
+
+    def evict_waiting(self):
+        """Closes the connection that has waited longest without a request, so that idle connections cannot
+        keep out clients with requests. False where there is none."""
+        return any(
+            self.close_waiting(connection)
+            for waiting in (self.silent, self.idle)
+            for connection in list(waiting)
+        )
+
+    def close_waiting(self, connection):
+        """Closes a connection unless it has bytes to be read; its client may connect again. Only the pending
+        read is cancelled: its task may have read bytes already that it has not processed."""
+        if poll_socket(connection.sock, select.POLLIN):
             return False
-        self.forget(guest)
-        guest.last = True
-        guest.scope.cancel()
+        self.forget(connection)
+        connection.is_closing = True
+        connection.read_scope.cancel()
         return True
 
-    def hold(self, guest, size):
-        """Counts the bytes of half-read requests; False when there is no room for them."""
-        self.left += guest.half - size
-        guest.half = size
-        return self.left >= 0
+    def count_partial(self, connection, size):
+        """Sets the bytes of a connection's incomplete request; False where the total exceeds its limit."""
+        self.partial_bytes_left += connection.partial_bytes - size
+        connection.partial_bytes = size
+        return self.partial_bytes_left >= 0
 
-    async def talk(self, guest, extra):
-        stream, door = guest.stream, guest.door
+    async def serve_requests(self, connection, is_extra):
+        stream, http = connection.stream, connection.http
         try:
             while True:
-                request = door.next()
+                request = http.next()
                 if request is None:
-                    await self.read(guest)
+                    await self.read(connection)
                     continue
-                self.hold(guest, 0)
-                guest.since, guest.asked = None, True
-                if extra:
+                self.count_partial(connection, 0)
+                connection.request_started, connection.has_sent_request = None, True
+                if is_extra:
                     raise Refused(503, "no room for more connections")
-                unread = since_last_byte(guest.sock)
-                status, headers, body = self.desk.answer(request, gone(guest.sock), unread)
+                unread = ns_since_last_byte(connection.sock)
+                status, headers, body = self.desk.handle_request(request, gone(connection.sock), unread)
                 if status == 202:
                     await self.desk.settled()
-                await self.write(stream, door.answer(status, headers, body, close=self.closing or guest.last))
-                if door.over:
+                await self.write(
+                    stream, http.answer(status, headers, body, close=self.closing or connection.is_closing)
+                )
+                if http.over:
                     return
         except Refused as cause:
-            await self.write(stream, door.answer(cause.status, body=f"{cause}\n".encode(), close=True))
-            with trio.move_on_after(self.house["last_words"] / 1e9):  # closing on unread bytes would reset
+            await self.write(stream, http.answer(cause.status, body=f"{cause}\n".encode(), close=True))
+            # Closing a socket with unread bytes resets the connection, and the answer could be lost.
+            with trio.move_on_after(self.house["last_words"] / 1e9):
                 await stream.send_eof()
                 while await stream.receive_some(self.house["body"]):
                     pass
         except EOFError:
             pass
 
-    async def read(self, guest):
-        """Reads once; a silent peer is closed, sooner while a request is awaited: one that drips, or never
-        says a word, must not hold a place for ever."""
-        door, data, now = guest.door, None, trio.current_time()
-        if guest.last:
+    async def read(self, connection):
+        """Reads once. Raises EOFError or Refused where nothing came in time; the timeout is shorter while a
+        request is awaited, so that a client that sends slowly or nothing does not keep its connection."""
+        http, data, now = connection.http, None, trio.current_time()
+        if connection.is_closing:
             raise EOFError
-        if guest.since is None and door.begun:  # its first bytes came behind the last request
-            guest.since = now
-        due = (now if guest.since is None else guest.since) + self.within[guest.since is None]
-        waiting = self.idle if guest.asked else self.silent
-        if not (guest.asked and door.begun):
-            waiting[guest] = True
-        with trio.move_on_at(due) as guest.scope:
-            data = await guest.stream.receive_some(self.house["body"])
-        waiting.pop(guest, None)
+        if connection.request_started is None and http.begun:
+            # Its first bytes came with the previous request.
+            connection.request_started = now
+        due = (now if connection.request_started is None else connection.request_started) + (
+            self.read_timeouts[connection.request_started is None]
+        )
+        waiting = self.idle if connection.has_sent_request else self.silent
+        if not (connection.has_sent_request and http.begun):
+            waiting[connection] = True
+        with trio.move_on_at(due) as connection.read_scope:
+            data = await connection.stream.receive_some(self.house["body"])
+        waiting.pop(connection, None)
         if data is None:
-            if door.begun and not guest.last:
+            if http.begun and not connection.is_closing:
                 raise Refused(408, "the request did not come in time")
             raise EOFError
-        if guest.since is None:
-            guest.since = trio.current_time()
-        door.feed(data)
-        if not self.hold(guest, guest.half + len(data)):
+        if connection.request_started is None:
+            connection.request_started = trio.current_time()
+        http.feed(data)
+        if not self.count_partial(connection, connection.partial_bytes + len(data)):
             raise Refused(503, "no room for more half-read requests")
-        if go := door.wants_go_ahead():
-            await self.write(guest.stream, go)
+        if interim := http.continue_response():
+            await self.write(connection.stream, interim)
 
     async def write(self, stream, data):
+        """Writes all bytes; EOFError where the client does not take them in time."""
         with trio.move_on_after(self.house["write_within"] / 1e9) as scope:
             await stream.send_all(data)
         if scope.cancelled_caught:
             raise EOFError
 
     def close_idle(self, silent_too=False):
-        """On the way out: idle connections are closed, the others at their next answer."""
+        """Closes idle connections, the others after their next answer; with `silent_too` also those that wait
+        for their first request."""
         self.closing = True
-        for guest in [*self.idle, *(self.silent if silent_too else ())]:
-            self.give_up(guest)
+        for connection in [*self.idle, *(self.silent if silent_too else ())]:
+            self.close_waiting(connection)
 
 
 def gone(sock):
-    """Whether the peer ended its sending, or reset: the message is then its client's again."""
-    return seen(sock, select.POLLRDHUP)
+    """Whether the peer has shut down its sending side or reset the connection. A client that did so keeps the
+    responsibility for its message."""
+    return poll_socket(sock, select.POLLRDHUP)
 
 
-def seen(sock, what):
+def poll_socket(sock, events):
+    """Whether one of the poll events is set now."""
     poll = select.poll()
-    poll.register(sock.fileno(), what)
+    poll.register(sock.fileno(), events)
     return bool(poll.poll(0))
--- a/courseroute/wire/discovery.py
+++ b/courseroute/wire/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery: calls for the list of endpoints, one at a time; the decisions say when each is made."""
+"""Calls to discovery for the list of endpoints, one at a time; the dispatcher decides when each is made."""
 
 import orjson
 import trio
@@ -7,93 +7,110 @@
 from courseroute.wire.link import LOST, Line
 from courseroute.wire.words import UNITS, roster_of
 
-NAMES_LOGGED = 16  # endpoints that are draining or gone, named in one line of the log
-WORKED_ON = 1_000_000_000  # nanoseconds that discovery spends on a call at the most, beside its wait
+MAX_NAMES_LOGGED = 16  # endpoints that are draining or gone, named in one line of the log
+MAX_PROCESSING_NS = 1_000_000_000  # longest time that discovery spends on a call, apart from its wait
 
 
-class TurnedAway(ValueError):
-    """An answer with another status than 200."""
+class UnexpectedStatus(ValueError):
+    """An answer whose status is not 200."""
 
 
 class Watch:
-    """What a call asks, and what its answer says; knows no socket."""
+    """Builds the request for the list and parses the answer, without any I/O.
+
+    `index` is the version of the last answer, None where the whole list must be requested.
+    """
 
     def __init__(self, listed_rates, index):
         self.listed_rates, self.index = listed_rates, index
 
     def target(self, wait):
+        """The request target. With a known version, discovery waits up to `wait` nanoseconds for changes."""
         known = f"index={self.index}&" if self.index is not None else ""
         return f"/v1/endpoints?{known}wait={max(1, wait // UNITS['m'])}" if known else "/v1/endpoints"
 
-    def answer(self, status, body):
-        """(scope, entries, addresses); ValueError where the answer is none, the whole list is asked then."""
+    def parse_answer(self, status, body):
+        """[scope, entries, addresses]. Raises ValueError for an answer that cannot be used; after one that
+        cannot be parsed the next call requests the whole list."""
         if status != 200:
-            raise TurnedAway(f"status {status}")
+            raise UnexpectedStatus(f"status {status}")
         try:
-            index, *told = roster_of(orjson.loads(body), self.listed_rates)
+            index, *answer = roster_of(orjson.loads(body), self.listed_rates)
         except ValueError:
             self.index = None
             raise
         self.index = index
-        return told
+        return answer
 
 
 class ListCall:
     """One call for the list; times are nanoseconds of the relay's clock."""
 
-    def __init__(self, line, wait, begun, continues):
-        self.line, self.wait, self.begun = line, wait, begun
-        self.continues = continues  # it follows an answer at once, so that its watch goes on
+    def __init__(self, connection, wait, started_at, continues):
+        self.connection, self.wait, self.started_at = connection, wait, started_at
+        self.continues = continues  # sent right after the previous answer, on the same connection
         self.scope = trio.CancelScope()
 
     def as_of(self, received):
-        """When the list in its answer was discovery's own: one that waited in vain says all up to its end."""
-        waited_until = self.begun + self.wait
+        """The time at which the list in its answer was current: the end of the wait if there was no change
+        until then, else the earliest time at which discovery may have read its list."""
+        waited_until = self.started_at + self.wait
         if received >= waited_until:
             return waited_until
-        return max(self.begun, received - WORKED_ON)
+        return max(self.started_at, received - MAX_PROCESSING_NS)
 
 
 class Discovery:
+    """Makes the calls and passes the lists to the coordinator and to the drivers of the hosts.
+
+    `keep(scope, entries, addresses)` is called for each list too, where the relay saves it.
+    """
+
     def __init__(self, nursery, desk, hosts, house, place, watch, clock, log):
         self.nursery, self.desk, self.hosts, self.house = nursery, desk, hosts, house
         self.place, self.watch, self.clock, self.log = place, watch, clock, log
-        self.call = None  # under way
-        self.idle_line = None  # that of the last answer, while its watch may go on
-        self.keep = None  # told (scope, entries, addresses) too, where the list is kept
-        self.answered_at, self.failures = None, 0  # time of the last answer, failed calls since
-
-    def ask(self, wait):
-        """Makes a call, which discovery may let wait so long for news; one under way ends, as it is late."""
+        self.call = None  # the ListCall under way
+        self.idle_connection = None  # that of the last answer, until the next call
+        self.keep = None
+        self.answered_at, self.failures = None, 0  # time of the last answer, failed calls since then
+
+    def request_list(self, wait):
+        """Starts a call, which discovery may hold for `wait` nanoseconds until the list changes. A call under
+        way has failed to answer in time and is abandoned."""
         if self.call:
             self.log_failure(self.call, "no answer in time")
-            self.give_up()
+            self.abandon_call()
         if self.failures or self.answered_at is None:
-            self.log("discovery asked", wait_ms=wait // UNITS["m"], **self.standing())
-        line, self.idle_line = self.idle_line, None
+            self.log("discovery asked", wait_ms=wait // UNITS["m"], **self.list_state())
+        connection, self.idle_connection = self.idle_connection, None
         wait = wait if self.watch.index is not None else 0
-        self.call = ListCall(line or self.new_line(), wait, self.clock(), continues=line is not None)
-        self.nursery.start_soon(self.make, self.call)
+        self.call = ListCall(
+            connection or self.new_connection(), wait, self.clock(), continues=connection is not None
+        )
+        self.nursery.start_soon(self.make_call, self.call)
 
-    def new_line(self):
+    def new_connection(self):
         return Line(self.place, self.house["head"], self.house["list"])
 
     def move(self, place):
-        """Discovery is elsewhere from now on: what waits at the old place is asked of the new one at once."""
-        self.place, self.watch.index = place, None  # its versions are its own: the whole list first
+        """Sets discovery's address. A call under way is abandoned, and the new address is called at once."""
+        # Versions are valid at one address only: the whole list is requested.
+        self.place, self.watch.index = place, None
         if self.call:
-            self.give_up()
-        if self.idle_line:
-            self.idle_line.drop()
-            self.idle_line = None
+            self.abandon_call()
+        if self.idle_connection:
+            self.idle_connection.close()
+            self.idle_connection = None
         self.desk.tell("discovery_moved")
 
-    def give_up(self):
+    def abandon_call(self):
         self.call.scope.cancel()
         self.call = None
 
     def learn(self, scope, entries, where, as_of=None):
-        if scope == "full":  # who left is not dialled again: another may have its address
+        """Applies a list. `scope`: full, changes or saved; `where`: host -> address; `as_of`: when the list
+        was current, None for now."""
+        if scope == "full":  # no connection to hosts that left: their address may belong to another host
             self.hosts.where.clear()
         self.hosts.where.update(where)
         for name, state, *_ in entries:
@@ -103,65 +120,70 @@
         if self.keep:
             self.keep(scope, entries, where)
 
-    async def make(self, call):
-        """Makes a call and tells what came of it, unless it was given up meanwhile."""
-        told, cause = None, None
+    async def make_call(self, call):
+        """Makes a call and handles its answer or failure, unless it was abandoned meanwhile."""
+        answer, cause = None, None
         try:
             with call.scope:
-                answer = await call.line.exchange(
+                received = await call.connection.exchange(
                     call.wait + self.house["list_within"],
                     "GET",
                     self.watch.target(call.wait),
                     [("Host", "discovery")],
                 )
                 if call is self.call:
-                    told = self.watch.answer(*answer)
+                    answer = self.watch.parse_answer(*received)
         except (*LOST, Refused, ValueError) as error:
             cause = error
         if call is not self.call:
-            call.line.drop()
-        elif told is None:
-            self.fail(call, cause)
+            call.connection.close()
+        elif answer is None:
+            self.handle_failure(call, cause)
         else:
-            self.take(call, told)
+            self.handle_answer(call, answer)
 
-    def take(self, call, told):
-        self.call, self.idle_line = None, call.line
-        self.log_answer(call, *told)
-        self.learn(*told, call.as_of(self.clock()))
+    def handle_answer(self, call, answer):
+        self.call, self.idle_connection = None, call.connection
+        self.log_answer(call, *answer)
+        self.learn(*answer, call.as_of(self.clock()))
 
-    def fail(self, call, cause):
+    def handle_failure(self, call, cause):
+        """Tells the dispatcher how a call failed. `spoilt`: an answer came that cannot be parsed, with the
+        time at which it was written; `ended`: a call failed that continued the previous one; `failed`: any
+        other."""
         self.call = None
-        call.line.drop()
+        call.connection.close()
         self.log_failure(call, str(cause)[:200] or type(cause).__name__)
-        if call.line.heard_at is not None and not isinstance(cause, TurnedAway):
-            since_written = int((trio.current_time() - call.line.heard_at) * 1e9)
+        if call.connection.first_byte_at is not None and not isinstance(cause, UnexpectedStatus):
+            since_written = int((trio.current_time() - call.connection.first_byte_at) * 1e9)
             self.desk.tell("roster", "spoilt", [], self.clock() - since_written)
         else:
             self.desk.tell("roster", "ended" if call.continues else "failed", [])
 
-    def standing(self):
-        """For the log: what the list is worth. Its age is the time since discovery answered last."""
+    def list_state(self):
+        """Log fields on how current the list is; its age is the time since discovery's last answer."""
         age = None if self.answered_at is None else self.elapsed_ms(self.answered_at)
         return {"version": self.watch.index, "list_age_ms": age, "failures": self.failures}
 
     def log_answer(self, call, scope, entries, _):
-        """Logs an answer that brings news, or the first one behind a failure."""
+        """Logs an answer that has entries or is the first one after a failure."""
         if entries or self.failures:
             unlisted = [name for name, state, *_ in entries if state != "ready"]
             self.log(
                 "endpoints told",
                 scope=scope,
                 entries=len(entries),
-                unlisted=unlisted[:NAMES_LOGGED],
-                call_ms=self.elapsed_ms(call.begun),
-                **self.standing(),
+                unlisted=unlisted[:MAX_NAMES_LOGGED],
+                call_ms=self.elapsed_ms(call.started_at),
+                **self.list_state(),
             )
         self.answered_at, self.failures = self.clock(), 0
 
     def log_failure(self, call, error):
         self.failures += 1
-        self.log("discovery failed", error=error, call_ms=self.elapsed_ms(call.begun), **self.standing())
+        self.log(
+            "discovery failed", error=error, call_ms=self.elapsed_ms(call.started_at), **self.list_state()
+        )
 
     def elapsed_ms(self, since):
         return (self.clock() - since) // UNITS["m"]
--- a/courseroute/wire/hosts.py
+++ b/courseroute/wire/hosts.py
@@ -1,4 +1,4 @@
-"""Thin driver for attempts at hosts: one task each, connections kept in the pool between attempts."""
+"""Sends attempts to hosts: one task for each attempt, on connections that the pool keeps between attempts."""
 
 import contextlib
 import math
@@ -8,281 +8,318 @@
 from courseroute.model.causes import ConnectionEnd, HoldCause
 from courseroute.wire import words
 from courseroute.wire.http import Refused
-from courseroute.wire.link import LOST, REST_BEHIND_REFUSAL_NS, REST_NS, Exchange, Link
-
-# Errors of a connection that was up once.
-BROKE = (ConnectionResetError, BrokenPipeError, trio.BrokenResourceError, EOFError)
+from courseroute.wire.link import (
+    LOST,
+    QUIET_PERIOD_AFTER_REFUSAL_NS,
+    QUIET_PERIOD_NS,
+    Exchange,
+    Link,
+)
+
+# Errors of a connection that had been established.
+BROKEN_CONNECTION_ERRORS = (ConnectionResetError, BrokenPipeError, trio.BrokenResourceError, EOFError)
 DELIVERED = 200
-BYTES_LOGGED = 40  # of those that came behind an answer
-UNREMARKABLE = ("delivered", "full")  # endings of first attempts that are counted, but not logged
+MAX_BYTES_LOGGED = 40  # of unexpected bytes behind an answer
+ENDINGS_NOT_LOGGED = ("delivered", "full")  # of attempts that repeat none; they are only counted
 
 
 class Hosts:
-    """Each attempt ends in one `desk.returned`; it may have run once its last byte was written."""
+    """Runs the attempts. Each ends in one `desk.returned`; it may have run on its host once its last byte was
+    written."""
 
     def __init__(self, nursery, desk, pool, house, terms, clock, log):
         self.nursery, self.desk, self.pool, self.house, self.clock = nursery, desk, pool, house, clock
         self.connect_within = terms.get("connect_within", house["write_within"])
         self.log = log
-        self.where, self.scopes = {}, {}
+        self.where, self.cancel_scopes = {}, {}  # host -> address; (message's name, n) -> scope
         self.last_delivery = {}  # host -> the Answer to its last delivery that had a body
-        self.tells_apart = set()  # hosts whose deliveries differ in the body, so that an equal one is a copy
-        pool.closed = self.note_closed
+        # Hosts whose deliveries have different bodies, so that an equal answer is a duplicate.
+        self.with_distinct_answers = set()
+        pool.on_closed = self.record_closed_connection
 
     def call(self, msg, n, host, until):
-        scope = self.scopes[(msg.name, n)] = trio.CancelScope()
-        self.nursery.start_soon(self.attempt, msg, n, host, until, scope)
+        """Starts the n-th attempt of a message; it is abandoned at the time `until`."""
+        scope = self.cancel_scopes[(msg.name, n)] = trio.CancelScope()
+        self.nursery.start_soon(self.run_attempt, msg, n, host, until, scope)
 
     def cancel(self, name, n):
-        if (name, n) in self.scopes:
-            self.scopes[(name, n)].cancel()
+        """Abandons an attempt if it is still running."""
+        if (name, n) in self.cancel_scopes:
+            self.cancel_scopes[(name, n)].cancel()
 
     def close(self, host):
-        self.pool.close(host)
+        """Closes the idle connections to a host."""
+        self.pool.close_idle(host)
 
-    async def attempt(self, msg, n, host, until, scope):
+    async def run_attempt(self, msg, n, host, until, scope):
+        """Makes an attempt and reports how it ended. The rest of its answer is read behind the report."""
         attempt = Attempt(self, msg, n, host, until)
-        scope.deadline = trio.current_time() + (until - attempt.begun) / 1e9
+        scope.deadline = trio.current_time() + (until - attempt.started_at) / 1e9
         try:
             with scope:
-                await attempt.go()
+                await attempt.run()
         except (*LOST, Refused, trio.TooSlowError) as cause:
-            attempt.broke = isinstance(cause, BROKE)
-        except Exception as cause:  # one attempt's odd answer must not end the relay
+            attempt.connection_broke = isinstance(cause, BROKEN_CONNECTION_ERRORS)
+        except Exception as cause:  # an unexpected answer must not stop the relay
             self.log("call failed", host=host, error=repr(cause)[:300])
-        del self.scopes[(msg.name, n)]
-        if attempt.copies and not attempt.link.call.settled:  # no other answer came: it was none
-            self.tells_apart.discard(host)
-        told, report = self.outcome_of(attempt, scope)
-        self.note(attempt, told[0])
+        del self.cancel_scopes[(msg.name, n)]
+        if attempt.duplicates and not attempt.link.call.conclusive:
+            # No other answer came, so what was discarded was the answer and not a duplicate.
+            self.with_distinct_answers.discard(host)
+        outcome, report = self.outcome_of(attempt, scope)
+        self.record_attempt(attempt, outcome[0])
         try:
-            took = attempt.elapsed() if attempt.answered is None else attempt.answered
-            self.desk.returned(msg.name, n, host, *told, took, report, attempt.idle)
-            if attempt.link and attempt.link.call.settled:
-                await attempt.drain()
+            took = attempt.elapsed() if attempt.answered_ns is None else attempt.answered_ns
+            self.desk.returned(msg.name, n, host, *outcome, took, report, attempt.idle_ns)
+            if attempt.link and attempt.link.call.conclusive:
+                await attempt.read_rest()
         except (*LOST, Refused):
             pass
         finally:
             attempt.close()
 
     def outcome_of(self, attempt, scope):
-        """((ending, told wait, whether the message is over), load report or None)."""
-        over = self.clock() >= attempt.until
+        """((ending, wait, whether no further attempt may follow), load report or None). `wait`: the delay
+        that the host asked for, in nanoseconds."""
+        expired = self.clock() >= attempt.until
         call = attempt.link and attempt.link.call
-        if attempt.sent is not None and (call.settled or call.first == 200):
-            # The first line of a delivery is true, whatever comes behind it.
-            return words.ending_of(call.first, call.headers), words.report_of(call.headers.get("x-load"))
-        if attempt.sent is None:  # proved never to have run
-            held = attempt.held or scope.cancelled_caught and not over
-            return ("unsent" if held else "broken" if attempt.broke else "unreachable", 0, False), None
+        if attempt.sent_ns is not None and (call.conclusive or call.first_line_status == 200):
+            # The status line of a delivery is conclusive, whatever follows it.
+            return (
+                words.classify_answer(call.first_line_status, call.headers),
+                words.parse_load_report(call.headers.get("x-load")),
+            )
+        if attempt.sent_ns is None:  # it surely did not run
+            held = attempt.hold_cause or scope.cancelled_caught and not expired
+            return (
+                "unsent" if held else "broken" if attempt.connection_broke else "unreachable",
+                0,
+                False,
+            ), None
         if scope.cancelled_caught:
-            return ("timeout" if over else "cancelled", 0, False), None
-        return ("stale" if attempt.idle is not None and not call.begun else "reset", 0, False), None
+            return ("timeout" if expired else "cancelled", 0, False), None
+        return ("stale" if attempt.idle_ns is not None and not call.begun else "reset", 0, False), None
 
-    def note(self, attempt, ending):
-        """Counts an attempt; logs it with its times unless it was a first one that ended as most do."""
+    def record_attempt(self, attempt, ending):
+        """Counts an attempt by its ending. Logs it with its times, unless it repeats no other and ended as
+        most do."""
         figures, repeated = self.desk.figures, attempt.repeated
         figures.count("attempts", ending)
-        if attempt.held:
-            figures.count("held attempts", attempt.held)
-        if repeated is None and ending in UNREMARKABLE:
+        if attempt.hold_cause:
+            figures.count("held attempts", attempt.hold_cause)
+        if repeated is None and ending in ENDINGS_NOT_LOGGED:
             return
-        told = {"id": attempt.msg.name, "attempt": attempt.n, "host": attempt.host, "ending": ending}
-        told["connection"] = "new" if attempt.idle is None else "kept"
-        told |= {
-            "connected_ms": milliseconds(attempt.connected),
-            "sent_ms": milliseconds(attempt.sent),
+        fields = {"id": attempt.msg.name, "attempt": attempt.n, "host": attempt.host, "ending": ending}
+        fields["connection"] = "new" if attempt.idle_ns is None else "kept"
+        fields |= {
+            "connected_ms": milliseconds(attempt.connected_ns),
+            "sent_ms": milliseconds(attempt.sent_ns),
             "ended_ms": milliseconds(attempt.elapsed()),
         }
-        if attempt.call_before:
-            told["call_before"] = attempt.call_before.id
-        if attempt.held:
-            told["held"] = attempt.held
+        if attempt.previous_exchange:
+            fields["call_before"] = attempt.previous_exchange.id
+        if attempt.hold_cause:
+            fields["held"] = attempt.hold_cause
         if repeated is not None:
             first, window = repeated
-            told |= {"first_ms": milliseconds(first - attempt.begun), "window_ms": milliseconds(window)}
-        self.log("attempt ended", **told)
-
-    def note_closed(self, link, cause, waiting=b""):
-        """Counts a connection that was closed; logs bytes that no call asked for, with the call before."""
+            fields |= {
+                "first_ms": milliseconds(first - attempt.started_at),
+                "window_ms": milliseconds(window),
+            }
+        self.log("attempt ended", **fields)
+
+    def record_closed_connection(self, link, cause, waiting=b""):
+        """Counts a closed connection; logs unexpected bytes on it, with the call that preceded them."""
         self.desk.figures.count("host connections closed", cause)
-        before = link.last_exchange
-        if cause is ConnectionEnd.BYTES_BEHIND_ANSWER and before:
+        previous = link.last_exchange
+        if cause is ConnectionEnd.BYTES_BEHIND_ANSWER and previous:
             self.log(
                 "bytes behind an answer",
-                host=before.host,
-                id=before.id,
-                status=before.status,
-                found_ms=milliseconds(self.clock() - before.answered_at),
-                bytes=repr(waiting[:BYTES_LOGGED]),
+                host=previous.host,
+                id=previous.id,
+                status=previous.status,
+                found_ms=milliseconds(self.clock() - previous.answered_at),
+                bytes=repr(waiting[:MAX_BYTES_LOGGED]),
             )
 
-    def note_copy(self, attempt):
-        """Logs an answer that came once more behind the next call, to which it is none."""
-        before = attempt.call_before
+    def record_duplicate_answer(self, attempt):
+        """Counts and logs a duplicate of the previous answer that arrived in place of the call's own."""
+        previous = attempt.previous_exchange
         self.desk.figures.count("answers", "came twice")
         self.log(
             "answer came twice",
             host=attempt.host,
             id=attempt.msg.name,
-            call_before=before and before.id,
+            call_before=previous and previous.id,
             status=attempt.link.call.status,
-            sent_ms=milliseconds(attempt.sent),
-            came_ms=milliseconds(attempt.answered),
+            sent_ms=milliseconds(attempt.sent_ns),
+            came_ms=milliseconds(attempt.answered_ns),
         )
 
-    def learn_answers(self, host, call):
-        """Keeps whether a host's answers can be told apart."""
+    def compare_with_last_delivery(self, host, call):
+        """Notes that a host's answers differ once two of its deliveries have different bodies."""
         if call.status != DELIVERED or not (call.done and call.size):
             return
         answer, last = call.answer(), self.last_delivery.get(host)
         self.last_delivery[host] = answer
         if last is not None and last.checksum != answer.checksum:
-            self.tells_apart.add(host)
+            self.with_distinct_answers.add(host)
         if len(self.last_delivery) > len(self.where):
             self.forget_unlisted()
 
     def forget_unlisted(self):
-        """What is kept of hosts ends with them: ids are always new."""
-        self.tells_apart &= self.where.keys()
+        """Drops what is kept of hosts that left the list; their ids are never used again."""
+        self.with_distinct_answers &= self.where.keys()
         self.last_delivery = {
             host: self.last_delivery[host] for host in self.last_delivery if host in self.where
         }
 
     def unsent(self, msg, n, host):
-        """For a call that must not leave; the module is told a little later, lest it try at once for ever."""
-        self.nursery.start_soon(self.say_unsent, msg, n, host)
+        """Reports an attempt that must not be sent after a short delay; reported at once, the dispatcher
+        could retry in an endless loop."""
+        self.nursery.start_soon(self.report_unsent, msg, n, host)
 
-    async def say_unsent(self, msg, n, host):
+    async def report_unsent(self, msg, n, host):
         await trio.sleep(self.house["notice_pause"] / 1e9)
         self.desk.returned(msg.name, n, host, "unsent", 0, False, 0, None)
 
 
 class Attempt:
-    """One attempt at one host. Times are nanoseconds since its dispatch; None for what did not happen."""
+    """One attempt at one host. Fields ending in `_ns` are nanoseconds since its dispatch, except `idle_ns`;
+    they are None for what did not happen."""
 
     def __init__(self, hosts, msg, n, host, until):
         self.hosts, self.msg, self.n, self.host, self.until = hosts, msg, n, host, until
-        self.begun = hosts.clock()
+        self.started_at = hosts.clock()
         self.repeated = hosts.desk.first_may_have_run(msg.name, n)
         self.link = None
-        self.connected = self.sent = self.answered = None
-        self.held = None  # a HoldCause: why it was not sent
-        self.broke = False
-        self.idle = None  # how long its connection had stood idle, None for a new one
-        self.call_before = None  # the Exchange before on a kept connection
-        self.copies = 0  # of the answer to that one, which were disregarded
+        self.connected_ns = self.sent_ns = self.answered_ns = None
+        self.hold_cause = None  # a HoldCause: why it was not sent
+        self.connection_broke = False
+        self.idle_ns = None  # how long its connection had been idle, None for a new one
+        self.previous_exchange = None  # the last Exchange on a reused connection
+        self.duplicates = 0  # duplicates of the previous answer that were discarded
 
     def elapsed(self):
-        return self.hosts.clock() - self.begun
+        """Nanoseconds since the dispatch."""
+        return self.hosts.clock() - self.started_at
 
-    async def go(self):
+    async def run(self):
+        """Connects, sends the request and receives the answer, or sets `hold_cause`."""
         hosts = self.hosts
         await hosts.desk.settled()
-        self.link, self.idle = hosts.pool.idle(self.host)
-        self.call_before = self.link and self.link.last_exchange
+        self.link, self.idle_ns = hosts.pool.take_idle(self.host)
+        self.previous_exchange = self.link and self.link.last_exchange
         self.link = self.link or await self.connect()
         if self.link is None:
-            self.held = HoldCause.NO_CONNECTION
+            self.hold_cause = HoldCause.NO_CONNECTION
             return
-        self.connected = self.elapsed()
-        # Asked last, with nothing awaited before the write: all that was waited for took its time.
-        self.held = hosts.desk.why_held(self.msg.name, self.n)
-        if self.held:
+        self.connected_ns = self.elapsed()
+        # Asked after all waits, and nothing is awaited between this and the write: the answer must be
+        # current.
+        self.hold_cause = hosts.desk.why_held(self.msg.name, self.n)
+        if self.hold_cause:
             return
         await self.send()
-        if self.sent is None:
+        if self.sent_ns is None:
             return
-        with trio.move_on_after(self.time_to_send()):
-            return await self.hear_answer()
-        if self.link.unacknowledged():  # they would arrive when their time is over
+        with trio.move_on_after(self.seconds_to_send()):
+            return await self.receive_answer()
+        if self.link.unacknowledged():  # those bytes would reach the host when it is too late
             raise trio.BrokenResourceError
-        await self.hear_answer()
+        await self.receive_answer()
 
     async def send(self):
-        """Writes the request, or leaves it unfinished and the attempt held when the time to do so is over."""
-        fields = words.call_head(self.msg, self.until - self.hosts.clock())
-        with trio.move_on_after(self.time_to_send()):
+        """Writes the request. When the time to do so is over the request stays incomplete and `hold_cause` is
+        set."""
+        fields = words.call_headers(self.msg, self.until - self.hosts.clock())
+        with trio.move_on_after(self.seconds_to_send()):
             await self.link.send("POST", "/hook", fields, self.msg.body)
-            self.sent = self.elapsed()
-        if self.sent is None:
-            self.held = HoldCause.WINDOW_CLOSED
+            self.sent_ns = self.elapsed()
+        if self.sent_ns is None:
+            self.hold_cause = HoldCause.WINDOW_CLOSED
 
-    def time_to_send(self):
-        """Seconds in which the last byte has to be written."""
+    def seconds_to_send(self):
+        """Seconds within which the last byte must be written."""
         send_by = self.hosts.desk.send_by(self.msg.name, self.n)
         return math.inf if send_by is None else max(0, send_by - self.hosts.clock()) / 1e9
 
-    async def hear_answer(self):
-        await self.hear_settled()
-        while await self.is_copy():
-            self.hosts.note_copy(self)
-            self.link.call.disregard()
-            self.answered, self.copies = None, self.copies + 1
-            await self.hear_settled()
+    async def receive_answer(self):
+        """Receives the answer until it is conclusive; discards duplicates of the previous answer."""
+        await self.receive_conclusive()
+        while await self.is_duplicate():
+            self.hosts.record_duplicate_answer(self)
+            self.link.call.discard_answer()
+            self.answered_ns, self.duplicates = None, self.duplicates + 1
+            await self.receive_conclusive()
 
-    async def hear_settled(self):
+    async def receive_conclusive(self):
         call, hosts = self.link.call, self.hosts
-        while not call.settled:  # an answer that began and stands still is spoilt
+        while not call.conclusive:  # an answer that started and then stalls raises TooSlowError
             with trio.fail_after(hosts.house["drain_answer"] / 1e9 if call.begun else math.inf):
                 await self.link.hear()
-            if self.answered is None:
-                self.answered = self.elapsed()
+            if self.answered_ns is None:
+                self.answered_ns = self.elapsed()
 
-    async def is_copy(self):
-        """Whether the answer is that to the call before on the connection, which came once more."""
+    async def is_duplicate(self):
+        """Whether the answer is a duplicate of the previous one on this connection."""
         call = self.link.call
-        if self.host not in self.hosts.tells_apart or not call.repeats_head_before():
+        if self.host not in self.hosts.with_distinct_answers or not call.repeats_previous_head():
             return False
         with contextlib.suppress(*LOST, Refused), trio.move_on_after(self.hosts.house["drain_answer"] / 1e9):
             await self.link.hear_all()
-        return call.repeats_answer_before()
+        return call.repeats_previous_answer()
 
     async def connect(self):
-        """None where the host left or there is no room for a connection; TimeoutError where none comes up."""
-        hosts, up = self.hosts, False
+        """A new connection; None where the host left the list or the pool is full. Raises TimeoutError where
+        none is established in time."""
+        hosts, established = self.hosts, False
         place = hosts.where.get(self.host)
-        if place is None or not hosts.pool.enter():
+        if place is None or not hosts.pool.reserve():
             return None
         try:
             with trio.fail_after(hosts.connect_within / 1e9):
-                link = Link(hosts.house["head"], hosts.house["body"], keeps=False)
+                link = Link(hosts.house["head"], hosts.house["body"], keep_body=False)
                 await link.dial(place)
-                up = True
+                established = True
         except trio.TooSlowError:
             raise TimeoutError from None
         finally:
-            if not up:
-                hosts.pool.leave()
+            if not established:
+                hosts.pool.release()
         return link
 
-    async def drain(self):
-        """Reads the answer to its end, within bounds, so that the connection can be used again."""
+    async def read_rest(self):
+        """Reads the answer to its end, within limits of time and size, and returns the connection to the pool
+        if it can be reused."""
         call, now = self.link.call, self.hosts.clock()
         self.link.last_exchange = Exchange(self.host, self.msg.name, call.status, now)
         with trio.move_on_after(self.hosts.house["drain_answer"] / 1e9):
             await self.link.hear_all()
-        self.hosts.learn_answers(self.host, call)
-        if call.reusable() and not self.copies:
-            rest = REST_NS if call.status == DELIVERED else REST_BEHIND_REFUSAL_NS
-            self.hosts.pool.keep(self.host, self.link, rest)
+        self.hosts.compare_with_last_delivery(self.host, call)
+        if call.reusable() and not self.duplicates:
+            quiet_period = QUIET_PERIOD_NS if call.status == DELIVERED else QUIET_PERIOD_AFTER_REFUSAL_NS
+            self.hosts.pool.add_idle(self.host, self.link, quiet_period)
             self.link = None
 
     def close(self):
+        """Closes the connection unless the pool has it."""
         if self.link is not None:
             call = self.link.call
-            self.hosts.pool.drop(self.link, self.why_closed(call), call.superfluous())
+            self.hosts.pool.discard(self.link, self.close_cause(call), call.unexpected_bytes())
             self.link = None
 
-    def why_closed(self, call):
-        """The ConnectionEnd of a connection that is not kept."""
-        if self.sent is None:
+    def close_cause(self, call):
+        """The ConnectionEnd of a connection that is not reused."""
+        if self.sent_ns is None:
             return ConnectionEnd.ATTEMPT_HELD
         if not call.done:
             return ConnectionEnd.NO_WHOLE_ANSWER
-        return ConnectionEnd.BYTES_BEHIND_ANSWER if call.superfluous() else ConnectionEnd.ANSWER_SAYS_CLOSE
+        return (
+            ConnectionEnd.BYTES_BEHIND_ANSWER if call.unexpected_bytes() else ConnectionEnd.ANSWER_SAYS_CLOSE
+        )
 
 
 def milliseconds(span):
-    """A span of nanoseconds for the log; None stays None."""
+    """Nanoseconds as milliseconds for the log; None stays None."""
     return None if span is None else round(span / 1e6, 1)
--- a/courseroute/wire/link.py
+++ b/courseroute/wire/link.py
@@ -1,4 +1,4 @@
-"""A connection that this relay opened, its machine beside it: shared by the drivers that call out."""
+"""Outgoing connections with their HTTP state, shared by the drivers that make calls."""
 
 import contextlib
 import fcntl
@@ -10,19 +10,24 @@
 
 import trio
 
-from courseroute.wire.http import Call, Refused
-from courseroute.wire.unread import unread
+from courseroute.wire.http import HttpClientState, Refused
+from courseroute.wire.unread import peek_unread
 
-LOST = (OSError, EOFError, trio.BrokenResourceError, trio.ClosedResourceError)  # a connection that broke
-STANDS_STILL_S = 0.5  # an answer that began and of which nothing more comes is spoilt
-REST_NS = 100_000_000  # behind an answer, before the next call: what comes in it belongs to no call
-REST_BEHIND_REFUSAL_NS = 250_000_000  # a copy of one would have the next message sent twice
-LINE_REST_NS = 50_000_000  # the same for a Line, whose calls to discovery have to follow each other soon
-RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER: on, for no time
+# Errors of a broken connection.
+LOST = (OSError, EOFError, trio.BrokenResourceError, trio.ClosedResourceError)
+ANSWER_STALL_S = 0.5  # an answer that started, and of which nothing more comes for so long, has failed
+# Quiet period: an idle connection is not used for so long after an answer. Bytes that arrive in it belong to
+# no call, and the connection is closed.
+QUIET_PERIOD_NS = 100_000_000
+# Longer after a refusal, as a late duplicate of one would have the next message sent twice.
+QUIET_PERIOD_AFTER_REFUSAL_NS = 250_000_000
+# Shorter for a Line: its calls to discovery must follow each other closely.
+LINE_QUIET_PERIOD_NS = 50_000_000
+LINGER_RESET = struct.pack("ii", 1, 0)  # SO_LINGER on, with no time: closing resets the connection
 
 
 class Exchange(NamedTuple):
-    """A call that was answered on a connection; `answered_at` in nanoseconds of the caller's clock."""
+    """An answered call on a connection; `answered_at` is nanoseconds of the caller's clock."""
 
     host: str
     id: str
@@ -31,14 +36,18 @@
 
 
 class Link:
-    def __init__(self, head_limit, body_limit, keeps=True):
-        self.call = Call(head_limit, body_limit, keeps)
-        self.chunk = head_limit
+    """An outgoing connection. Its methods raise one of LOST where the connection breaks, and Refused where
+    the answer is malformed."""
+
+    def __init__(self, head_limit, body_limit, keep_body=True):
+        self.call = HttpClientState(head_limit, body_limit, keep_body)
+        self.max_read = head_limit
         self.socket = trio.socket.socket()
         self.stream = None
-        self.last_exchange = None  # the last one that was answered, for the log
+        self.last_exchange = None  # the last answered call, for the log
 
     async def dial(self, place):
+        """Connects to an address (host, port) and returns itself; a failure closes the socket."""
         try:
             await self.socket.connect(place)
         except BaseException:
@@ -48,99 +57,107 @@
         return self
 
     async def send(self, method, target, headers, body=b""):
+        """Starts a call and writes its request."""
         await self.stream.send_all(self.call.begin(method, target, headers, body) + body)
 
     async def hear(self):
-        """Feeds the machine once with what has come."""
-        self.call.feed(await self.stream.receive_some(self.chunk))
+        """Reads once and passes the bytes to the HTTP state."""
+        self.call.feed(await self.stream.receive_some(self.max_read))
 
     async def hear_all(self):
+        """Reads until the answer is complete."""
         while not self.call.done:
             await self.hear()
 
     def unacknowledged(self):
-        """Bytes written that the peer's system has not acknowledged; 0 where nobody can tell."""
+        """Bytes written that the peer's kernel has not acknowledged; 0 where the own kernel does not report
+        them."""
         try:
             count = fcntl.ioctl(self.socket.fileno(), termios.TIOCOUTQ, bytes(4))
-        except (OSError, ValueError):  # ValueError: it is closed
+        except (OSError, ValueError):  # ValueError: the socket is closed
             return 0
         return int.from_bytes(count, sys.byteorder)
 
     def close(self):
-        """Ends the connection. Bytes that are still on their way are dropped: the system would go on to
-        deliver them, and a request that was given up would reach its host later."""
+        """Closes the connection, with a reset if bytes are unacknowledged: the kernel would go on to deliver
+        them, and an abandoned request would reach its host later."""
         if self.unacknowledged():
             with contextlib.suppress(OSError):
-                self.socket.setsockopt(trio.socket.SOL_SOCKET, trio.socket.SO_LINGER, RESET_ON_CLOSE)
+                self.socket.setsockopt(trio.socket.SOL_SOCKET, trio.socket.SO_LINGER, LINGER_RESET)
         self.socket.close()
 
 
 class Line:
-    """One kept link to one place, opened anew when it broke or the place moved; one exchange at a time."""
+    """A persistent connection to one address, for one call at a time. It is opened at the first call, and
+    again when it broke or the address changed. Times are trio's, in seconds."""
 
     def __init__(self, place, head_limit, body_limit):
-        self.place, self.limits, self.link, self.dialled = place, (head_limit, body_limit), None, None
-        self.heard_at = None  # trio's time of the last answer's first byte, None before it
-        self.answered_at = None  # trio's time of the last answer's end
+        self.place, self.limits, self.link, self.connected_place = place, (head_limit, body_limit), None, None
+        self.first_byte_at = None  # of the last call's answer, None before it
+        self.answered_at = None  # end of the last answer
         self.was_first = True  # whether that answer was the first one on its connection
 
     async def exchange(self, within, method, target, headers, body=b""):
-        """(status, body) of the answer; raises one of LOST or Refused where none came in time."""
-        self.heard_at = None
-        await self.rest()
-        kept = self.link is not None
+        """Makes a call: (status, body) of the answer. `within`: nanoseconds. Raises one of LOST or Refused
+        where no answer came in time."""
+        self.first_byte_at = None
+        await self.wait_quiet_period()
+        reused = self.link is not None
         try:
             with trio.move_on_after(within / 1e9):
-                if not kept:
-                    self.dialled = self.place
+                if not reused:
+                    self.connected_place = self.place
                     self.link = await Link(*self.limits).dial(self.place)
                 await self.link.send(method, target, headers, body)
-                await self.hear_answer()
-                told = self.link.call.status, self.link.call.body()
-                self.answered_at, self.was_first = trio.current_time(), not kept
+                await self.receive_answer()
+                answer = self.link.call.status, self.link.call.body()
+                self.answered_at, self.was_first = trio.current_time(), not reused
                 if not self.link.call.reusable():
-                    self.drop()
-                return told
+                    self.close()
+                return answer
         except (*LOST, Refused):
-            self.drop()
-            if kept and self.heard_at is None:  # the other side may have closed it while it stood idle
+            self.close()
+            if reused and self.first_byte_at is None:  # the peer may have closed the idle connection
                 return await self.exchange(within, method, target, headers, body)
             raise
-        self.drop()
+        self.close()
         raise Refused(408, "no answer in time")
 
-    async def rest(self):
-        """Waits until LINE_REST_NS behind the last answer are over. Closes the connection where something
-        came since, or the place moved, while it stood idle."""
+    async def wait_quiet_period(self):
+        """Waits for the end of the quiet period after the last answer. Closes the connection if bytes arrived
+        since, the peer closed it, or the address changed."""
         if self.link is None:
             return
-        await trio.sleep(max(0, self.answered_at + LINE_REST_NS / 1e9 - trio.current_time()))
-        if self.dialled != self.place or (self.link is not None and unread(self.link.socket) is not None):
-            self.drop()
+        await trio.sleep(max(0, self.answered_at + LINE_QUIET_PERIOD_NS / 1e9 - trio.current_time()))
+        if self.connected_place != self.place or (
+            self.link is not None and peek_unread(self.link.socket) is not None
+        ):
+            self.close()
 
-    def is_rested(self):
-        """Whether a connection is kept on which a call need not wait."""
-        return self.link is not None and trio.current_time() >= self.answered_at + LINE_REST_NS / 1e9
+    def is_usable(self):
+        """Whether there is an open connection whose quiet period is over."""
+        return self.link is not None and trio.current_time() >= self.answered_at + LINE_QUIET_PERIOD_NS / 1e9
 
-    async def is_sure(self):
-        """Whether the last answer was surely that to its call: the first one on a connection is, and one
-        behind which nothing came while the connection rested. Another may be a copy of the one before."""
+    async def is_answer_certain(self):
+        """Whether the last answer belongs to its call for certain: the first one on a connection does, and
+        one behind which nothing arrived in the quiet period. Any other may be a duplicate of the previous
+        answer."""
         if self.was_first:
             return True
-        await self.rest()
+        await self.wait_quiet_period()
         return self.link is not None
 
-    async def hear_answer(self):
+    async def receive_answer(self):
         call = self.link.call
         while not call.done:
-            with trio.move_on_after(STANDS_STILL_S if call.begun else math.inf) as scope:
+            with trio.move_on_after(ANSWER_STALL_S if call.begun else math.inf) as scope:
                 await self.link.hear()
             if scope.cancelled_caught:
                 raise Refused(408, "the answer stands still")
-            if self.heard_at is None and call.begun:
-                self.heard_at = trio.current_time()
+            if self.first_byte_at is None and call.begun:
+                self.first_byte_at = trio.current_time()
 
-    def drop(self):
+    def close(self):
         if self.link is not None:
             self.link.close()
             self.link = None
--- a/courseroute/wire/notices.py
+++ b/courseroute/wire/notices.py
@@ -1,8 +1,8 @@
-"""Notices to the platform: final statuses owed, told in batches until they are taken.
+"""Sends notices, the final states of messages, to the platform in batches until it accepts them.
 
-A call may get no answer, or its connection may come up late. The notices of a call that is out for long are
-told once more on another connection, without an end to the first call: a notice that is taken twice does no
-harm, one that waits for a call that is lost comes behind its time.
+A call may get no answer, or its connection may take long to be established. The notices of a call that has
+been out for too long are sent again on another connection while the first call goes on: a notice that is
+accepted twice does no harm, while one that waits for a lost call misses its deadline.
 """
 
 import math
@@ -14,99 +14,110 @@
 from courseroute.wire.link import LOST, Line
 from courseroute.wire.words import UNITS
 
-CONNECTIONS = 8
-CALL_AGAIN_AFTER_S, SOON_CALLS = 0.1, 4  # the first few calls with a notice follow each other so soon,
-CALL_AGAIN_LATER_AFTER_S = 0.4  # those behind them like this
-ANSWER_IS_CHECKED_S = 0.2  # an answer may still turn out to be another call's
-# Where all connections are in use, the oldest call makes room once it is out for so long: one that was sent,
-# else one whose connection does not come up (a first packet that is lost is sent again after a second).
-SENT_MAKES_ROOM_AFTER_S, DIALLED_MAKES_ROOM_AFTER_S = 0.3, 1.2
+MAX_CONNECTIONS = 8
+# The first calls with a notice follow each other at the short interval, the later ones at the long interval.
+SHORT_RETRY_INTERVAL_S, SHORT_INTERVAL_CALLS = 0.1, 4
+LONG_RETRY_INTERVAL_S = 0.4
+ANSWER_CHECK_S = 0.2  # time to find out whether an answer is a duplicate of another call's
+# While all connections are in use, the oldest call that has been out for so long is cancelled for others. A
+# call that is still connecting gets more time: the kernel repeats a lost first packet after a second.
+SENT_REPLACEABLE_AFTER_S, CONNECTING_REPLACEABLE_AFTER_S = 0.3, 1.2
 
 
 class PendingNotice:
-    """One notice, and when it may be told (once more): trio's time, in seconds."""
+    """A notice that is not accepted yet, and when it may be sent next: trio's time, in seconds."""
 
     __slots__ = ("line", "due", "calls")
 
     def __init__(self, line, due):
-        self.line, self.due, self.calls = line, due, 0
+        self.line, self.due, self.calls = line, due, 0  # line: the notice as a line of JSON
 
-    def called(self, now):
-        """A call leaves because it is due."""
+    def count_call(self, now):
+        """Counts a call made because the notice was due, and sets when it is due again."""
         self.calls += 1
-        self.due = now + (CALL_AGAIN_AFTER_S if self.calls < SOON_CALLS else CALL_AGAIN_LATER_AFTER_S)
+        self.due = now + (
+            SHORT_RETRY_INTERVAL_S if self.calls < SHORT_INTERVAL_CALLS else LONG_RETRY_INTERVAL_S
+        )
 
 
 class NoticeCall:
-    """A call that is out; `begun` is trio's time, in seconds."""
+    """A call under way; `started_at` is trio's time, in seconds."""
 
-    __slots__ = ("line", "names", "body", "begun", "scope")
+    __slots__ = ("connection", "names", "body", "started_at", "scope")
 
-    def __init__(self, line, names, body, begun):
-        self.line, self.names, self.body, self.begun = line, names, body, begun
+    def __init__(self, connection, names, body, started_at):
+        self.connection, self.names, self.body, self.started_at = connection, names, body, started_at
         self.scope = trio.CancelScope()
 
-    def makes_room_at(self):
-        is_dialling = self.line.link is None
-        return self.begun + (DIALLED_MAKES_ROOM_AFTER_S if is_dialling else SENT_MAKES_ROOM_AFTER_S)
+    def replaceable_at(self):
+        """When the call may be cancelled to free its connection."""
+        is_connecting = self.connection.link is None
+        return self.started_at + (
+            CONNECTING_REPLACEABLE_AFTER_S if is_connecting else SENT_REPLACEABLE_AFTER_S
+        )
 
 
 class Notices:
-    """Each notice ends in one `desk.told_of`. At most CONNECTIONS calls are out at once."""
+    """The pending notices. Each accepted one is reported in one `desk.told_of`; at most MAX_CONNECTIONS calls
+    are out at once."""
 
     def __init__(self, desk, house, place, log):
         self.desk, self.house, self.log = desk, house, log
-        # Those that no call uses, the one used last at the end.
-        self.free = [Line(place, house["head"], house["body"]) for _ in range(CONNECTIONS)]
-        self.lines = tuple(self.free)
-        self.calls = []  # out, the oldest first
+        # Connections without a call, the most recently used at the end.
+        self.free = [Line(place, house["head"], house["body"]) for _ in range(MAX_CONNECTIONS)]
+        self.connections = tuple(self.free)
+        self.calls = []  # under way, the oldest first
         self.pending = {}  # message's name -> PendingNotice, the oldest first
-        self.news = trio.Event()  # set where there may be something to do
+        self.changed = trio.Event()  # wakes `serve`; replaced before each wait
         self.failing = False
 
-    def owe(self, name, state, after):
-        told = {"id": name, "state": state}
+    def add(self, name, state, after):
+        """Queues a notice. `after`: nanoseconds that the client shall wait before it tries again, 0 for
+        none."""
+        fields = {"id": name, "state": state}
         if after:
-            told["after_ms"] = -(-after // UNITS["m"])
-        self.pending[name] = PendingNotice(orjson.dumps(told) + b"\n", due=0.0)
-        self.news.set()
+            fields["after_ms"] = -(-after // UNITS["m"])
+        self.pending[name] = PendingNotice(orjson.dumps(fields) + b"\n", due=0.0)
+        self.changed.set()
 
     def move(self, place):
-        """The platform is elsewhere from now on."""
-        for line in self.lines:
-            line.place = place
+        """Sets the platform's address."""
+        for connection in self.connections:
+            connection.place = place
 
     async def serve(self):
+        """Sends notices whenever some are due, until cancelled."""
         async with trio.open_nursery() as nursery:
             while True:
                 now = trio.current_time()
-                names = self.batch(now)
+                names = self.next_batch(now)
                 if names and self.free:
-                    nursery.start_soon(self.make, self.begin_call(names, now))
+                    nursery.start_soon(self.make_call, self.start_call(names, now))
                     continue
                 if names:
-                    self.make_room(now)
+                    self.cancel_replaceable_call(now)
                 await self.wait(some_are_due=bool(names))
 
-    def begin_call(self, names, now):
+    def start_call(self, names, now):
+        """Registers a call with these notices; `make_call` makes it."""
         body = b"".join(self.pending[name].line for name in names)
-        call = NoticeCall(self.take_line(names), names, body, now)
+        call = NoticeCall(self.take_connection(names), names, body, now)
         self.calls.append(call)
         for notice in (self.pending[name] for name in names):
             if notice.due <= now:
-                notice.called(now)
+                notice.count_call(now)
         return call
 
-    def make_room(self, now):
-        """Gives up one call, the oldest of those that may be, for the notices that are due."""
+    def cancel_replaceable_call(self, now):
+        """Cancels the oldest call that may be, so that notices that are due get its connection."""
         for call in self.calls:
-            if call.makes_room_at() <= now:
+            if call.replaceable_at() <= now:
                 call.scope.cancel()
                 return
 
-    def batch(self, now):
-        """The names that the next call tells, none while none is due: those that are due, then the others,
-        whose calls may get no answer; as many as a body holds."""
+    def next_batch(self, now):
+        """The names for the next call, none while no notice is due: those that are due, then the others,
+        whose calls may get no answer; as many as fit into a body."""
         ordered = sorted(self.pending.items(), key=lambda item: item[1].due > now)
         if not ordered or ordered[0][1].due > now:
             return []
@@ -118,85 +129,90 @@
             names.append(name)
         return names
 
-    def take_line(self, names):
-        """A connection for a call: one in use and rested for a first call, else one that has to be dialled.
-        A notice that a call did not deliver is not trusted to another connection that stood idle."""
+    def take_connection(self, names):
+        """A connection for a call: an open one whose quiet period is over for a first call, else one that is
+        not open. A notice that is sent again gets a new connection, as the first may have failed because its
+        connection had been idle."""
         repeats = self.pending[names[0]].calls > 0
-        kept = [line for line in self.free if line.is_rested()]
-        unused = [line for line in self.free if line.link is None]
-        line = kept[-1] if kept and not repeats else (unused or self.free)[0]
-        self.free.remove(line)
+        open_ones = [connection for connection in self.free if connection.is_usable()]
+        closed_ones = [connection for connection in self.free if connection.link is None]
+        connection = open_ones[-1] if open_ones and not repeats else (closed_ones or self.free)[0]
+        self.free.remove(connection)
         if repeats:
-            line.drop()
-        return line
+            connection.close()
+        return connection
 
     async def wait(self, some_are_due):
-        """Until something is news or the next notice is due; until a call makes room for some that are."""
-        self.news = trio.Event()
+        """Waits until something changes, or the next notice is due; where some are due, until a call may be
+        cancelled for them."""
+        self.changed = trio.Event()
         if some_are_due:
-            times = [call.makes_room_at() for call in self.calls if not call.scope.cancel_called]
+            times = [call.replaceable_at() for call in self.calls if not call.scope.cancel_called]
         else:
             times = [notice.due for notice in self.pending.values()]
         with trio.move_on_at(min(times, default=math.inf)):
-            await self.news.wait()
+            await self.changed.wait()
 
-    async def make(self, call):
-        line, names, status = call.line, call.names, None
+    async def make_call(self, call):
+        """Makes a call. Its notices are removed if the platform accepted them, else scheduled again."""
+        connection, names, status = call.connection, call.names, None
         with call.scope:
-            status = await self.post(line, names, call.body)
+            status = await self.post(connection, names, call.body)
         if call.scope.cancelled_caught:
-            line.drop()
-            self.note_failed(call.begun, len(names), "given up for others")
+            connection.close()
+            self.record_failed_call(call.started_at, len(names), "given up for others")
         self.calls.remove(call)
-        self.free.append(line)
-        taken = [name for name in names if name in self.pending]
-        if status in (204, 400):  # one that can't be read will not be read the next time
-            for name in taken:
+        self.free.append(connection)
+        pending = [name for name in names if name in self.pending]
+        if status in (204, 400):  # a notice that was not understood would not be the next time either
+            for name in pending:
                 del self.pending[name]
-            self.desk.told_of(taken)
+            self.desk.told_of(pending)
         else:
-            self.postpone(taken, at_most=self.house["notice_pause"] / 1e9)
+            self.retry_within(pending, at_most=self.house["notice_pause"] / 1e9)
         if status not in (None, 204):
             self.log("notices not taken", status=status, count=len(names))
-        self.news.set()
+        self.changed.set()
 
-    def postpone(self, names, at_most):
+    def retry_within(self, names, at_most):
+        """Makes notices due in `at_most` seconds, unless they are due earlier."""
         due = trio.current_time() + at_most
         for name in names:
             self.pending[name].due = min(self.pending[name].due, due)
 
-    async def post(self, line, names, body):
-        """The answer's status; None where none came, or it was not surely the answer to this call."""
-        begun, status = trio.current_time(), None
+    async def post(self, connection, names, body):
+        """The answer's status; None where no answer came, or it may be that to another call."""
+        started_at, status = trio.current_time(), None
         try:
-            answered, _ = await line.exchange(
+            answered, _ = await connection.exchange(
                 self.house["notice_within"], "POST", "/v1/notices", [("Host", "platform")], body
             )
-            self.hold(names)
-            if await line.is_sure():
+            self.defer(names)
+            if await connection.is_answer_certain():
                 status = answered
-            else:  # told once more on a new connection, which does no harm
+            else:  # sent again on a new connection; a second delivery does no harm
                 self.log("notices told again", count=len(names), status=answered)
         except (*LOST, Refused) as error:
-            self.note_failed(begun, len(names), str(error)[:200] or type(error).__name__)
-        self.note_failing(status is None)
+            self.record_failed_call(started_at, len(names), str(error)[:200] or type(error).__name__)
+        self.set_failing(status is None)
         return status
 
-    def hold(self, names):
-        """Not told again while the answer that came is looked at."""
-        due = trio.current_time() + ANSWER_IS_CHECKED_S
+    def defer(self, names):
+        """Keeps notices from being sent again while the answer to their call is checked."""
+        due = trio.current_time() + ANSWER_CHECK_S
         for name in names:
             if name in self.pending:
                 self.pending[name].due = max(self.pending[name].due, due)
 
-    def note_failed(self, begun, count, error):
-        """Counts a call without an answer; logs it unless the one before it failed too."""
+    def record_failed_call(self, started_at, count, error):
+        """Counts a call without an answer; logs it unless the previous call failed too."""
         self.desk.figures.count("notice calls", "failed")
         if not self.failing:
-            call_ms = round((trio.current_time() - begun) * 1000)
+            call_ms = round((trio.current_time() - started_at) * 1000)
             self.log("notice call failed", error=error, call_ms=call_ms, notices=count)
 
-    def note_failing(self, failing):
+    def set_failing(self, failing):
+        """Logs when calls begin to fail, and when they succeed again."""
         if failing != self.failing:
             self.failing = failing
             self.log("notices fail" if failing else "notices are taken again", owed=len(self.pending))
--- a/courseroute/wire/unread.py
+++ b/courseroute/wire/unread.py
@@ -1,19 +1,20 @@
-"""What waits on a connection to be read, looked at without taking it, and since when the last of it came."""
+"""What the kernel knows of a socket's incoming bytes: those not read yet, and when the last one arrived."""
 
 import socket
 import sys
 
-MOST_BYTES = 64
+PEEK_BYTES = 64
 MS = 1_000_000
-LAST_DATA_RECEIVED = slice(52, 56)  # of the system's struct tcp_info: milliseconds, as uint32
-LONGEST_NS = 10_000 * MS  # what is longer is no reading: a system that does not keep it says anything
+LAST_DATA_RECEIVED = slice(52, 56)  # tcpi_last_data_recv of struct tcp_info: milliseconds, as uint32
+MAX_PLAUSIBLE_NS = 10_000 * MS  # a longer time is ignored: a kernel that does not track it reports any value
 
 
-def unread(sock, most=MOST_BYTES):
-    """The first bytes that wait unread; b"" where the peer ended or reset the connection; else None."""
+def peek_unread(sock, count=PEEK_BYTES):
+    """The first unread bytes, which stay in the socket; b"" where the peer ended or reset the connection;
+    None where nothing arrived."""
     borrowed = socket.socket(socket.AF_INET, socket.SOCK_STREAM, 0, sock.fileno())
     try:
-        return borrowed.recv(most, socket.MSG_PEEK | socket.MSG_DONTWAIT)
+        return borrowed.recv(count, socket.MSG_PEEK | socket.MSG_DONTWAIT)
     except (BlockingIOError, InterruptedError):
         return None
     except OSError:
@@ -22,12 +23,12 @@
         borrowed.detach()
 
 
-def since_last_byte(sock):
-    """Nanoseconds since the connection's last byte came, read or not; 0 where the system can't tell. Counted
-    by the system in milliseconds, whatever the process did meanwhile."""
+def ns_since_last_byte(sock):
+    """Nanoseconds since the connection's last byte arrived, read or not; 0 where the kernel does not report
+    it. The kernel counts milliseconds, also while the process is stopped."""
     try:
         info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, LAST_DATA_RECEIVED.stop)
     except OSError:
         return 0
     since = int.from_bytes(info[LAST_DATA_RECEIVED], sys.byteorder) * MS
-    return since if since <= LONGEST_NS else 0
+    return since if since <= MAX_PLAUSIBLE_NS else 0
--- a/courseroute/wire/words.py
+++ b/courseroute/wire/words.py
@@ -1,4 +1,4 @@
-"""The words of the protocol: what a head's fields say, as the interface has it, and back."""
+"""Parses and writes the protocol's headers, the endpoint list and load reports."""
 
 import math
 import re
@@ -6,108 +6,127 @@
 
 from courseroute.wire.http import Refused
 
-UNITS = {"m": 1_000_000, "u": 1000}
-SPAN = re.compile(r"(\d{1,10}(?:\.\d{1,9})?)([mu])")
-STATES = {"active": "ready", "leaving": "draining", "left": "gone"}
-ODD = re.compile(r"[^\x21-\x7e]")
+UNITS = {"m": 1_000_000, "u": 1000}  # nanoseconds
+DURATION = re.compile(r"(\d{1,10}(?:\.\d{1,9})?)([mu])")
+STATE_OF_STATUS = {"active": "ready", "leaving": "draining", "left": "gone"}
+NOT_PRINTABLE = re.compile(r"[^\x21-\x7e]")
 
 
-def span_of(text):
-    found = SPAN.fullmatch(text.strip())
+def parse_duration(text):
+    """Nanoseconds of a duration such as 1500m (milliseconds) or 20u (microseconds); Refused where it is
+    none."""
+    found = DURATION.fullmatch(text.strip())
     if not found:
         raise Refused(400, "a span is a number and a unit")
     return int(float(found[1]) * UNITS[found[2]])
 
 
-def span_text(ns):
+def format_duration(ns):
+    """A duration in whole milliseconds, at least one."""
     return f"{max(1, ns // UNITS['m'])}m"
 
 
-def notice_of(request, lanes, longest):
-    """What a client hands in, as a plain map; what is odd, or longer than names may be, is refused."""
+def notice_of(request, lanes, max_length):
+    """The fields of the message in a client's request; Refused where one is malformed. `max_length`: of names
+    and keys; a longer tenant or ordering key is cut, a longer id or idempotency key refused."""
     path, _, query = request.target.partition("?")
     lane = path.lstrip("/").split("/")[0]
-    told = request.headers
+    headers = request.headers
     if lane not in lanes:
         raise Refused(404, "no such class")
     if request.method != "POST":
         raise Refused(405, "messages are handed in by POST")
-    if told.get("x-class", lane) != lane:
+    if headers.get("x-class", lane) != lane:
         raise Refused(400, "class and path differ")
-    envelope = dict(pair.strip().partition("=")[::2] for pair in re.split("[;,]", told.get("envelope", "")))
-    name, dst, key = told.get("x-request-id", ""), envelope.get("dest", ""), told.get("idempotency-key", "")
-    if not name or len(name) > longest or ODD.search(name):
+    envelope = dict(
+        pair.strip().partition("=")[::2] for pair in re.split("[;,]", headers.get("envelope", ""))
+    )
+    name, destination, idempotency_key = (
+        headers.get("x-request-id", ""),
+        envelope.get("dest", ""),
+        headers.get("idempotency-key", ""),
+    )
+    if not name or len(name) > max_length or NOT_PRINTABLE.search(name):
         raise Refused(400, "X-Request-Id is missing or odd")
-    if not re.fullmatch(r"\d{1,9}", dst):
+    if not re.fullmatch(r"\d{1,9}", destination):
         raise Refused(400, "Envelope names no destination")
-    if len(key) > longest or ODD.search(key):
+    if len(idempotency_key) > max_length or NOT_PRINTABLE.search(idempotency_key):
         raise Refused(400, "Idempotency-Key is odd")
     return {
         "name": name,
-        "dst": str(int(dst)),
+        "dst": str(int(destination)),
         "lane": lane,
-        "left": span_of(told.get("x-deadline", "")),
-        "mark": key,
-        "customer": told.get("x-tenant", "")[:longest],
-        "again": "x-retry" in told,
-        "key": dict(parse_qsl(query)).get("subject", "")[:longest],
+        "left": parse_duration(headers.get("x-deadline", "")),
+        "mark": idempotency_key,
+        "customer": headers.get("x-tenant", "")[:max_length],
+        "again": "x-retry" in headers,
+        "key": dict(parse_qsl(query)).get("subject", "")[:max_length],
         "body": request.body,
     }
 
 
-def call_head(msg, left):
-    headers = [("Host", "origin"), ("X-Request-Id", msg.name), ("X-Deadline", span_text(left))]
-    return headers + ([("Idempotency-Key", msg.mark)] if msg.mark else [])
+def call_headers(msg, time_left):
+    """The headers of an attempt's request to its host."""
+    headers = [
+        ("Host", "origin"),
+        ("X-Request-Id", msg.name),
+        ("X-Deadline", format_duration(time_left)),
+    ]
+    return headers + ([("Idempotency-Key", msg.idempotency_key)] if msg.idempotency_key else [])
 
 
-def ending_of(status, headers):
-    """(ending, told wait, whether the message is over)"""
+def classify_answer(status, headers):
+    """(ending, wait, whether no further attempt may follow) of a host's answer. `wait`: the delay that the
+    host asked for, in nanoseconds."""
     if status == 200:
         return "delivered", 0, True
     if status in (429, 503):
         if headers.get("slots-taken") == "1":
             return "unsent", 0, False
-        told = headers.get("wait-ms", "")
-        return "full", int(float(told) * UNITS["m"]) if re.fullmatch(r"\d{1,9}(\.\d+)?", told) else 0, False
+        wait = headers.get("wait-ms", "")
+        return "full", int(float(wait) * UNITS["m"]) if re.fullmatch(r"\d{1,9}(\.\d+)?", wait) else 0, False
     if status in (504, 410):
         return "unsent", 0, status == 410
     return "error", 0, False
 
 
-def report_of(text):
-    """A load report's figures, None where there is none."""
+def parse_load_report(text):
+    """The values of a load report, None where it is missing or malformed."""
     found = dict(re.findall(r"(\w+)\s*=\s*([0-9.eE+-]+)", text or ""))
     try:
-        told = {"left": float(found["x0"]), "limit": float(found["x1"])}
+        report = {"left": float(found["x0"]), "limit": float(found["x1"])}
     except (KeyError, ValueError):
         return None
-    return told if all(0 <= figure < math.inf for figure in told.values()) else None
+    return report if all(0 <= value < math.inf for value in report.values()) else None
 
 
-def entry_of(told, listed_rates):
-    rate = float(told.get("weight") or 0) if listed_rates else None
+def parse_entry(entry, listed_rates):
+    """An endpoint of discovery's list as (name, state, zone, rate, kind, destination). The rate is its
+    weight, None unless `listed_rates`."""
+    rate = float(entry.get("weight") or 0) if listed_rates else None
     return (
-        told["name"],
-        STATES.get(told.get("status"), "draining"),
-        told.get("zone", ""),
+        entry["name"],
+        STATE_OF_STATUS.get(entry.get("status"), "draining"),
+        entry.get("zone", ""),
         rate,
-        told.get("type", ""),
-        str(told.get("group", "")),
+        entry.get("type", ""),
+        str(entry.get("group", "")),
     )
 
 
-def roster_of(told, listed_rates):
-    """(index, scope, entries, addresses) from discovery's list; raises ValueError where it can't be read."""
+def roster_of(answer, listed_rates):
+    """(index, scope, entries, addresses) of discovery's list; raises ValueError where it is malformed."""
     try:
-        entries = [entry_of(entry, listed_rates) for entry in told["endpoints"]]
-        where = {
-            entry["name"]: place_of(entry["address"]) for entry in told["endpoints"] if entry.get("address")
+        entries = [parse_entry(entry, listed_rates) for entry in answer["endpoints"]]
+        addresses = {
+            entry["name"]: place_of(entry["address"]) for entry in answer["endpoints"] if entry.get("address")
         }
-        return int(told["index"]), "full" if told.get("snapshot") else "changes", entries, where
+        return int(answer["index"]), "full" if answer.get("snapshot") else "changes", entries, addresses
     except (KeyError, TypeError, AttributeError) as cause:
         raise ValueError(f"a list without {cause}") from None
 
 
 def place_of(address):
+    """(host, port) of an address "host:port"."""
     host, _, port = address.rpartition(":")
     return host, int(port)
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -10,7 +10,7 @@
 from courseroute.state.figures import Figures
 from courseroute.state.pool import Pool
 from courseroute.wire.hosts import Hosts
-from courseroute.wire.http import Call
+from courseroute.wire.http import HttpClientState
 from courseroute.wire.link import Link
 
 SECOND_NS = 10**9
@@ -63,11 +63,11 @@
             desk = Desk(close_kept)
             hosts = Hosts(nursery, desk, pool, HOUSE, {}, time.monotonic_ns, lambda *told, **more: None)
             hosts.where["h"] = place
-            assert pool.enter()
-            pool.keep("h", await Link(HOUSE["head"], HOUSE["body"], keeps=False).dial(place))
+            assert pool.reserve()
+            pool.add_idle("h", await Link(HOUSE["head"], HOUSE["body"], keep_body=False).dial(place))
             while not accepted:
                 await trio.sleep(0.01)
-            message = SimpleNamespace(name="a", body=b"x", mark="")
+            message = SimpleNamespace(name="a", body=b"x", idempotency_key="")
             hosts.call(message, 0, "h", time.monotonic_ns() + 5 * SECOND_NS)
             await desk.over.wait()
             nursery.cancel_scope.cancel()
@@ -83,8 +83,8 @@
     hosts.where = {"differs": None, "alike": None}
     hosts_answered = ("differs", b"1"), ("alike", b"1"), ("gone", b"1"), ("differs", b"2"), ("alike", b"1")
     for host, body in hosts_answered:
-        call = Call(HOUSE["head"], HOUSE["body"], keeps=False)
+        call = HttpClientState(HOUSE["head"], HOUSE["body"], keep_body=False)
         call.begin("POST", "/", [("Host", "h")])
         call.feed(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n" + body)
-        hosts.learn_answers(host, call)
-    assert hosts.tells_apart == {"differs"} and set(hosts.last_delivery) == {"differs", "alike"}
+        hosts.compare_with_last_delivery(host, call)
+    assert hosts.with_distinct_answers == {"differs"} and set(hosts.last_delivery) == {"differs", "alike"}
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -14,12 +14,12 @@
 from courseroute.journal.frames import OWED
 from courseroute.journal.store import Journal
 from courseroute.model.causes import CloseCause, ConnectionEnd
-from courseroute.state.desk import END, Desk
+from courseroute.state.desk import END_RECORD_BYTES, Desk
 from courseroute.state.figures import Figures
 from courseroute.state.pool import Pool
 from courseroute.state.roster import Roster
 from courseroute.wire.clients import Clients
-from courseroute.wire.link import REST_NS
+from courseroute.wire.link import QUIET_PERIOD_NS
 from courseroute.wire.notices import Notices
 from courseroute.wire.words import roster_of
 
@@ -37,25 +37,27 @@
 @pytest.mark.parametrize(
     "age, fresh, spoil, reused",
     [
-        (REST_NS - 1, 9 * S, None, False),
-        (REST_NS, 9 * S, None, True),
+        (QUIET_PERIOD_NS - 1, 9 * S, None, False),
+        (QUIET_PERIOD_NS, 9 * S, None, True),
         (7 * S, 9 * S, None, True),
         (8 * S, 9 * S, None, False),
         (S, S, None, False),
-        (REST_NS, S, lambda pipe: pipe.peer.close(), False),
-        (REST_NS, S, lambda pipe: pipe.peer.send(b"x"), False),
+        (QUIET_PERIOD_NS, S, lambda pipe: pipe.peer.close(), False),
+        (QUIET_PERIOD_NS, S, lambda pipe: pipe.peer.send(b"x"), False),
     ],
 )
 def test_an_idle_connection_is_used_again_only_while_it_surely_stands(age, fresh, spoil, reused):
     now = [100 * S]
     pool = Pool(2, 8 * S, lambda: now[0], lambda: fresh)
-    assert pool.enter()
+    assert pool.reserve()
     pipe = Pipe()
-    pool.keep("h", pipe)
+    pool.add_idle("h", pipe)
     now[0] += age
     if spoil:
         spoil(pipe)
-    assert (pool.idle("h")[0] is pipe) == reused and pool.open == int(reused or age < REST_NS)
+    assert (pool.take_idle("h")[0] is pipe) == reused and pool.open_count == int(
+        reused or age < QUIET_PERIOD_NS
+    )
 
 
 # Guards against a late copy of an answer being read as the answer to the next call.
@@ -63,19 +65,19 @@
     now = [100 * S]
     pool, pipes = Pool(3, 8 * S, lambda: now[0], lambda: 9 * S), [Pipe(), Pipe(), Pipe()]
     for pipe in pipes:
-        assert pool.enter()
-        pool.keep("h", pipe)
-        now[0] += REST_NS * 2 // 3
-    assert [pool.idle("h")[0] for _ in pipes] == [pipes[1], pipes[0], None]
+        assert pool.reserve()
+        pool.add_idle("h", pipe)
+        now[0] += QUIET_PERIOD_NS * 2 // 3
+    assert [pool.take_idle("h")[0] for _ in pipes] == [pipes[1], pipes[0], None]
 
 
 def test_the_pool_says_why_it_closed_a_connection_and_what_waited_on_it():
     pool, closed = Pool(1, 8 * S, lambda: 0, lambda: 9 * S), []
-    pool.closed = lambda _, cause, waiting=b"": closed.append((cause, waiting))
+    pool.on_closed = lambda _, cause, waiting=b"": closed.append((cause, waiting))
     for spoil in (lambda peer: peer.send(b"HTTP/1.1 503"), lambda peer: peer.close()):
-        assert pool.enter()
+        assert pool.reserve()
         pipe = Pipe()
-        pool.keep("h", pipe)
+        pool.add_idle("h", pipe)
         spoil(pipe.peer)
         pool.sweep()
     behind = ConnectionEnd.BYTES_BEHIND_ANSWER, b"HTTP/1.1 503"
@@ -84,9 +86,9 @@
 
 def test_the_pool_is_bounded_and_idle_connections_make_room():
     pool = Pool(2, 8 * S, lambda: 0, lambda: S)
-    assert pool.enter() and pool.enter() and not pool.enter()
-    pool.keep("h", Pipe())
-    assert pool.enter() and pool.open == 2 and not pool.enter()
+    assert pool.reserve() and pool.reserve() and not pool.reserve()
+    pool.add_idle("h", Pipe())
+    assert pool.reserve() and pool.open_count == 2 and not pool.reserve()
 
 
 TOLD = {
@@ -179,11 +181,11 @@
     assert list(again.notices.pending) == (["a"] if end in ("returned", "failed") else [])
     assert again.take(TOLD, False)[0] == {None: 202, "returned": 503, "failed": 500, "delivered": 200}[end]
     again.told_of(list(again.notices.pending))
-    ends = sum(END + len(name) for name in again.ends)
-    assert not again.owed and again.bytes == ends + sum(msg.size for msg in again.held.values())
+    ends = sum(END_RECORD_BYTES + len(name) for name in again.ends)
+    assert not again.owed and again.reserved_bytes == ends + sum(msg.size for msg in again.held.values())
     compact_all(again.log)
     assert set(again.log.entries) == set(again.held)
-    assert sum(live for _, live in again.log.segments.values()) <= again.bytes
+    assert sum(live for _, live in again.log.segments.values()) <= again.reserved_bytes
 
 
 def desk_on(disk, now):
@@ -212,7 +214,7 @@
     assert list(desk.notices.pending) == ["a"]
     disk.room = None
     desk.write_late()
-    assert list(desk.notices.pending) == ["a", "b"] and not desk.withheld and not desk.unwritten
+    assert list(desk.notices.pending) == ["a", "b"] and not desk.unannounced and not desk.unwritten
     again = Journal(disk.after(), 1_000_000)
     assert [told[0] for kind, told, _ in again.read() if kind == OWED] == ["a", "b"]
 
@@ -245,7 +247,7 @@
     ask = b"GET /ready HTTP/1.1\r\nHost: r\r\n\r\n"
 
     class Answers:
-        def answer(self, request, gone, unread):
+        def handle_request(self, request, gone, unread):
             return 200, (), b""
 
     async def play():
@@ -256,18 +258,23 @@
         async def receive(stream, size):
             data = await read(stream, size)
             for guest in list(clients.open):
-                clients.give_up(guest)
+                clients.close_waiting(guest)
             return data
 
         await theirs.send(ask if last_byte else ask[:9])
         trio.SocketStream.receive_some = receive
         try:
             with trio.fail_after(1):
-                await clients.connection(ours)
+                await clients.handle_connection(ours)
         finally:
             trio.SocketStream.receive_some = read
         assert (await theirs.recv(99)).startswith(b"HTTP/1.1 200 ") == last_byte
-        assert not clients.open and not clients.silent and not clients.idle and clients.left == 9999
+        assert (
+            not clients.open
+            and not clients.silent
+            and not clients.idle
+            and clients.partial_bytes_left == 9999
+        )
 
     trio.run(play)
 
@@ -321,11 +328,11 @@
 def test_a_notice_that_was_taken_before_another_call_with_it_began_is_sent_all_the_same():
     async def play():
         notices = notices_for(SimpleNamespace(figures=Figures()))
-        notices.owe("a", "failed", 0)
-        call = notices.begin_call(["a"], trio.current_time())
+        notices.add("a", "failed", 0)
+        call = notices.start_call(["a"], trio.current_time())
         del notices.pending["a"]
-        await notices.make(call)
-        assert not notices.pending and call.line in notices.free
+        await notices.make_call(call)
+        assert not notices.pending and call.connection in notices.free
 
     trio.run(play)
 
@@ -334,11 +341,11 @@
 def test_a_call_to_the_platform_carries_the_notices_of_calls_that_are_still_out():
     async def play():
         notices = notices_for(SimpleNamespace(figures=Figures()))
-        notices.owe("a", "failed", 0)
-        notices.begin_call(["a"], trio.current_time())
-        assert not notices.batch(trio.current_time())
-        notices.owe("b", "failed", 0)
-        assert notices.batch(trio.current_time()) == ["b", "a"]
+        notices.add("a", "failed", 0)
+        notices.start_call(["a"], trio.current_time())
+        assert not notices.next_batch(trio.current_time())
+        notices.add("b", "failed", 0)
+        assert notices.next_batch(trio.current_time()) == ["b", "a"]
 
     trio.run(play)
 
@@ -359,7 +366,7 @@
             return accepted, None
 
     class Answers:
-        def answer(self, request, gone, unread):
+        def handle_request(self, request, gone, unread):
             return 200, (), b""
 
     async def play():
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -9,7 +9,7 @@
 from courseroute.run import config
 from courseroute.wire import words
 from courseroute.wire.discovery import Watch
-from courseroute.wire.http import Call, Door, Refused
+from courseroute.wire.http import Door, HttpClientState, Refused
 
 POST = (
     b"POST /order/x?subject=k HTTP/1.1\r\nHost: r\r\nX-Request-Id: m1\r\nX-Deadline: 1500m\r\n"
@@ -55,7 +55,7 @@
 )
 def test_an_answer_in_one_read_or_byte_by_byte(data, outcome):
     for size in (1, len(data) or 1):
-        call = Call(4096, 100)
+        call = HttpClientState(4096, 100)
         call.begin("POST", "/hook", [("Host", "h")], b"body")
 
         def hear(call=call, size=size):
@@ -87,11 +87,11 @@
     ],
 )
 def test_the_first_line_is_known_though_the_rest_is_spoilt(data, first, settled):
-    call = Call(4096, 100)
+    call = HttpClientState(4096, 100)
     call.begin("POST", "/hook", [("Host", "h")])
     with contextlib.suppress(Refused):
         call.feed(data)
-    assert (call.first, call.settled) == (first, settled)
+    assert (call.first_line_status, call.conclusive) == (first, settled)
 
 
 def request_of(change=b"", to=b""):
@@ -157,7 +157,7 @@
     ],
 )
 def test_what_an_answer_means(status, headers, ending):
-    assert words.ending_of(status, headers) == ending
+    assert words.classify_answer(status, headers) == ending
 
 
 @pytest.mark.parametrize(
@@ -173,7 +173,7 @@
     ],
 )
 def test_reports(text, report):
-    assert words.report_of(text) == report
+    assert words.parse_load_report(text) == report
 
 
 ENTRY = {"name": "h", "address": "127.0.0.1:80", "zone": "z", "type": "k", "group": 3, "status": "leaving"}
@@ -184,18 +184,18 @@
     assert watch.target(2 * S) == "/v1/endpoints?index=4&wait=2000"
     told = orjson.dumps({"index": 5, "snapshot": False, "endpoints": [ENTRY]})
     entry = ("h", "draining", "z", None, "k", "3")
-    assert watch.answer(200, told) == ["changes", [entry], {"h": ("127.0.0.1", 80)}]
+    assert watch.parse_answer(200, told) == ["changes", [entry], {"h": ("127.0.0.1", 80)}]
     for status, body in ((503, b""), (200, told)):  # a failed call leaves the version as it is
         assert watch.index == 5
         if status == 200:
-            watch.answer(status, body)
+            watch.parse_answer(status, body)
         else:
             with pytest.raises(ValueError):
-                watch.answer(status, body)
+                watch.parse_answer(status, body)
     for body in (b"", b"[]", b"{}", b'{"index":6,"endpoints":[{}]}', b'{"index":6,"endpoints":7}'):
         watch.index = 5
         with pytest.raises(ValueError):
-            watch.answer(200, body)
+            watch.parse_answer(200, body)
         assert watch.target(S) == "/v1/endpoints"
 
 
