--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -1,4 +1,4 @@
-"""Second copies of answers before a real relay: none may count as the answer to the next call."""
+"""Duplicate answers sent to a relay process: none may count as the answer to the next call."""
 
 import time
 
@@ -9,14 +9,14 @@
 
 PAIRS = 4
 ANSWER_AFTER_S = 0.08
-TAKEN = b"HTTP/1.1 204"
+ACCEPTED = b"HTTP/1.1 204"
 DELIVERED = b"HTTP/1.1 200"
 NOT_SENT = b"HTTP/1.1 504"
 
 
 @pytest.fixture
 def town(tmp_path):
-    """One host, one call at a time: the next call leaves as soon as the one before is answered."""
+    """One host, one call at a time: the next call is sent as soon as the previous one is answered."""
     town = Town(tmp_path, slots=1, hosts=("h1",))
     yield town
     town.close()
@@ -24,7 +24,7 @@
 
 @pytest.fixture
 def platform_proxy(town):
-    """Before discovery and the taking of notices."""
+    """A proxy in front of the platform: discovery and the endpoint for notices."""
     proxy = Proxy(town.discovery)
     town.discovery = proxy.address
     yield proxy
@@ -33,7 +33,7 @@
 
 @pytest.fixture
 def proxy(town):
-    """Before the host."""
+    """A proxy in front of the host."""
     places = town.where["h1"]
     proxy = Proxy(places[0])
     places[:] = [proxy.address]
@@ -42,7 +42,7 @@
 
 
 def hand_in_pairs(town, lane):
-    """Each b is handed in while its a is out."""
+    """Submits PAIRS pairs of messages, each b while the call of its a is under way."""
     for i in range(PAIRS):
         assert town.hand_in(f"a{i}", lane) == 202
         assert until(lambda i=i: town.sent(f"a{i}"))
@@ -51,9 +51,9 @@
         time.sleep(2 * ANSWER_AFTER_S)
 
 
-# Guards against a message being taken as delivered by a second copy of the answer to the call before it.
+# Guards against a message counting as delivered by a late duplicate of the answer to the previous call.
 @pytest.mark.parametrize("after_s", [0.004, 0.02])
-def test_a_late_copy_of_a_delivery_does_not_deliver_the_next_message(town, proxy, after_s):
+def test_a_late_duplicate_of_a_delivery_does_not_deliver_the_next_message(town, proxy, after_s):
     def plan(call):
         time.sleep(ANSWER_AFTER_S)
         is_refused = call["id"].startswith("b") and len(town.sent(call["id"])) == 1
@@ -67,8 +67,8 @@
     assert proxy.copied >= PAIRS and not town.notices
 
 
-# Guards against the same where the copy comes so late that it meets a call on a connection that has rested.
-def test_a_copy_that_meets_a_later_call_does_not_deliver_its_message(town, proxy):
+# As above, for a duplicate that arrives after the quiet period, during a later call on the connection.
+def test_a_duplicate_received_during_a_later_call_does_not_deliver_its_message(town, proxy):
     def plan(call):
         time.sleep(ANSWER_AFTER_S)
         is_refused = call["id"].startswith("b") and len(town.sent(call["id"])) == 1
@@ -91,9 +91,9 @@
     assert any(event["event"] == "answer came twice" for event in town.events())
 
 
-# Guards against a message being sent twice because a second copy of the answer before said "never ran".
+# Guards against a message being sent twice because a duplicate of the previous answer said "not run".
 @pytest.mark.parametrize("after_s", [0.02, 0.1])
-def test_a_late_copy_of_a_refusal_does_not_send_the_next_message_again(town, proxy, after_s):
+def test_a_late_duplicate_of_a_refusal_does_not_send_the_next_message_again(town, proxy, after_s):
     def plan(call):
         time.sleep(ANSWER_AFTER_S)
         is_refused = call["id"].startswith("a") and len(town.sent(call["id"])) == 1
@@ -108,14 +108,15 @@
     assert proxy.copied >= PAIRS and not town.notices
 
 
-# Guards against a notice being lost because a copy of the answer to the one before said that it was taken.
-def test_a_late_copy_of_the_platforms_answer_does_not_lose_the_next_notice(town, platform_proxy):
+# Guards against a notice being lost because a duplicate of the previous answer said that it was accepted.
+def test_a_late_duplicate_of_the_platforms_answer_does_not_lose_the_next_notice(town, platform_proxy):
     town.plan = lambda call: "drop"
-    platform_proxy.copies = Copies(TAKEN, None)
+    platform_proxy.copies = Copies(ACCEPTED, None)
     town.start()
     assert town.hand_in("a", "once") == 202
     assert until(lambda: [notice["id"] for notice in town.notices] == ["a"])
-    time.sleep(2 * ANSWER_AFTER_S)  # the connection has rested, so that the next notice goes on it
+    # Until the quiet period is over, so that the next notice is sent on the same connection.
+    time.sleep(2 * ANSWER_AFTER_S)
     town.platform_status = 503
     assert town.hand_in("b", "once") == 202
     assert until(lambda: platform_proxy.copied)
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -1,4 +1,4 @@
-"""The driver of attempts, with a desk and a host of the test's own."""
+"""The driver of attempts, with a stub for the coordinator and a local host."""
 
 import contextlib
 import time
@@ -18,14 +18,14 @@
 
 
 class Desk:
-    """Allows every attempt, keeps what came back; `when_settled` is what happens while a sync is awaited."""
+    """Allows every attempt and records the endings; `during_sync` runs while a sync is awaited."""
 
-    def __init__(self, when_settled):
-        self.when_settled = when_settled
+    def __init__(self, during_sync):
+        self.during_sync = during_sync
         self.figures, self.endings, self.over = Figures(), [], trio.Event()
 
     async def settled(self):
-        await self.when_settled()
+        await self.during_sync()
 
     def why_held(self, name, n):
         return None
@@ -42,7 +42,7 @@
 
 
 # Guards against a request being written to a connection that its host closed while a sync was awaited.
-def test_a_kept_connection_that_ends_while_a_sync_is_awaited_is_not_used():
+def test_an_idle_connection_that_is_closed_while_a_sync_is_awaited_is_not_used():
     async def play():
         accepted = []
 
@@ -76,13 +76,13 @@
     assert trio.run(play) == ["delivered"]
 
 
-# Guards against a message being taken as delivered by the first copy of an answer on its connection.
-def test_a_hosts_deliveries_tell_calls_apart_once_two_differ_whatever_their_connections():
+# Guards against a message counting as delivered by a duplicate answer, the first one on its connection.
+def test_a_hosts_answers_are_distinct_once_two_deliveries_differ_on_any_connections():
     pool = Pool(8, SECOND_NS, time.monotonic_ns, lambda: SECOND_NS)
     hosts = Hosts(None, None, pool, HOUSE, {}, time.monotonic_ns, None)
     hosts.where = {"differs": None, "alike": None}
-    hosts_answered = ("differs", b"1"), ("alike", b"1"), ("gone", b"1"), ("differs", b"2"), ("alike", b"1")
-    for host, body in hosts_answered:
+    answers = ("differs", b"1"), ("alike", b"1"), ("gone", b"1"), ("differs", b"2"), ("alike", b"1")
+    for host, body in answers:
         call = HttpClientState(HOUSE["head"], HOUSE["body"], keep_body=False)
         call.begin("POST", "/", [("Host", "h")])
         call.feed(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n" + body)
--- a/tests/test_final_answers.py
+++ b/tests/test_final_answers.py
@@ -1,4 +1,4 @@
-"""Final answers on real processes: each message that was taken on ends within its time, whatever is slow."""
+"""Relay processes give each accepted message its final answer in time, whatever is slow."""
 
 import threading
 import time
@@ -8,15 +8,15 @@
 
 from courseroute.town.proxy import Proxy
 
-END_WITHIN_S = 0.3 + 0.05  # of the deadline, as the protocol has it
-CLIENT_WAITS_S = 0.4  # for its answer: what it handed in is at most so old when it is taken on
-HELD_UP_S = 0.15  # a process may be, between its clock and its write
+END_WITHIN_S = 0.3 + 0.05  # after the deadline, as the protocol allows, with its tolerance
+CLIENT_WAITS_S = 0.4  # for its answer: a request is at most this old when it is accepted
+PROCESS_DELAY_S = 0.15  # between reading the clock and the write, at most
 TIME_LEFT_S = 2.0
 
 
 @pytest.fixture
 def town(tmp_path):
-    """One with hosts that never answer, and a proxy before the platform; `client_proxy` is one before its
+    """Hosts that never answer, and a proxy in front of the platform; `client_proxy` is one in front of the
     relay."""
     town = Town(tmp_path)
     town.plan = lambda call: "hang"
@@ -30,9 +30,9 @@
     platform_proxy.close()
 
 
-def hand_in_late(town, unseen_s):
-    """Hands a message in over a way on which it takes `unseen_s`; (its deadline, on the monotonic clock, the
-    answer)."""
+def submit_late(town, unseen_s):
+    """Submits a message whose request takes `unseen_s` seconds to reach the relay. Returns its deadline on
+    the monotonic clock and the status of the answer."""
     town.client_proxy.late_s = unseen_s
     town.relay_place, direct = town.client_proxy.address, town.relay_place
     begun = time.monotonic()
@@ -42,21 +42,22 @@
 
 
 def ended_at(town):
+    """Waits for a notice and returns its time on the monotonic clock."""
     assert until(lambda: town.notices, within=TIME_LEFT_S + 2)
     return time.monotonic()
 
 
-# Guards against a final answer behind its time for a request that was long on its way to the relay, so that
-# its deadline was nearer than the relay could see.
-def test_a_request_that_was_long_on_its_way_ends_within_its_time(town):
+# Guards against a late final answer to a request that took long to reach the relay, so that its deadline was
+# nearer than the relay could know.
+def test_a_request_that_took_long_to_arrive_gets_its_final_answer_in_time(town):
     town.platform_proxy.late_s = 0.06
-    deadline, status = hand_in_late(town, unseen_s=0.33)
+    deadline, status = submit_late(town, unseen_s=0.33)
     assert status == 202
     assert ended_at(town) <= deadline + END_WITHIN_S
 
 
-# Guards against a deadline that is counted from when the relay came to read a request, not from when it came.
-def test_a_request_that_lay_unread_in_its_socket_ends_before_its_deadline(town):
+# Guards against a deadline counted from when the relay read a request instead of from when it arrived.
+def test_a_request_that_waited_unread_in_its_socket_ends_before_its_deadline(town):
     town.end()
     town.start(slow_calls="accept 0.045")
     ended = {}
@@ -74,19 +75,19 @@
         client.join()
     unread = [event["unread_ms"] for event in town.events() if event["event"] == "message closed"]
     assert max(unread) > 200 and len(ended) == len(unread)
-    assert max(ended.values()) < 0.9 - HELD_UP_S
+    assert max(ended.values()) < 0.9 - PROCESS_DELAY_S
 
 
-# Guards against notices that wait behind a call to the platform which gets no answer.
+# Guards against notices waiting for a call to the platform that gets no answer.
 @pytest.mark.parametrize("silent", [1, 2])
-def test_a_message_ends_within_its_time_though_calls_to_the_platform_get_no_answer(town, silent):
+def test_a_message_ends_in_time_though_calls_to_the_platform_get_no_answer(town, silent):
     town.platform_proxy.silent_connections = silent
-    deadline, status = hand_in_late(town, unseen_s=0.3)
+    deadline, status = submit_late(town, unseen_s=0.3)
     assert status == 202
     assert ended_at(town) <= deadline + END_WITHIN_S
 
 
-# The same for notices that are owed while such a call is out.
+# As above, for notices that are queued while such a call is under way.
 def test_a_notice_does_not_wait_for_a_call_to_the_platform_that_gets_no_answer(town):
     town.platform_proxy.silent_connections = 1
     town.hand_in("a", left="600m")
@@ -96,8 +97,8 @@
     assert time.time() * 1000 - max(closed.values()) < 200
 
 
-# The same where so many calls are out without an answer that no connection is left.
-def test_calls_to_the_platform_that_get_no_answer_make_room_for_others(town):
+# As above, where calls without an answer use all connections.
+def test_calls_to_the_platform_without_an_answer_are_replaced_by_others(town):
     town.platform_proxy.silent_connections = 8
     begun, count = time.monotonic(), 5
     for number in range(count):
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -1,4 +1,4 @@
-"""What is kept: the log's records and limits, the pool's connections, the desk's guard."""
+"""State of the relay: coordinator and journal, connection pool, saved endpoint list, pending notices."""
 
 import errno
 import socket
@@ -24,8 +24,8 @@
 from courseroute.wire.words import roster_of
 
 
-class Pipe:
-    """A connection over a real socket pair; `peer` is its other end."""
+class FakeConnection:
+    """Stands in for a Link, on a real socket pair; `peer` is the other end."""
 
     def __init__(self):
         self.socket, self.peer = socket.socketpair()
@@ -35,63 +35,66 @@
 
 
 @pytest.mark.parametrize(
-    "age, fresh, spoil, reused",
+    "age, fresh, disturb, reused",
     [
         (QUIET_PERIOD_NS - 1, 9 * S, None, False),
         (QUIET_PERIOD_NS, 9 * S, None, True),
         (7 * S, 9 * S, None, True),
         (8 * S, 9 * S, None, False),
         (S, S, None, False),
-        (QUIET_PERIOD_NS, S, lambda pipe: pipe.peer.close(), False),
-        (QUIET_PERIOD_NS, S, lambda pipe: pipe.peer.send(b"x"), False),
+        (QUIET_PERIOD_NS, S, lambda connection: connection.peer.close(), False),
+        (QUIET_PERIOD_NS, S, lambda connection: connection.peer.send(b"x"), False),
     ],
 )
-def test_an_idle_connection_is_used_again_only_while_it_surely_stands(age, fresh, spoil, reused):
+def test_an_idle_connection_is_reused_only_if_quiet_and_open(age, fresh, disturb, reused):
     now = [100 * S]
     pool = Pool(2, 8 * S, lambda: now[0], lambda: fresh)
     assert pool.reserve()
-    pipe = Pipe()
-    pool.add_idle("h", pipe)
+    connection = FakeConnection()
+    pool.add_idle("h", connection)
     now[0] += age
-    if spoil:
-        spoil(pipe)
-    assert (pool.take_idle("h")[0] is pipe) == reused and pool.open_count == int(
+    if disturb:
+        disturb(connection)
+    assert (pool.take_idle("h")[0] is connection) == reused and pool.open_count == int(
         reused or age < QUIET_PERIOD_NS
     )
 
 
-# Guards against a late copy of an answer being read as the answer to the next call.
-def test_the_newest_connection_that_has_rested_is_used():
+# Guards against a late duplicate of an answer being read as the answer to the next call.
+def test_the_newest_connection_past_its_quiet_period_is_used():
     now = [100 * S]
-    pool, pipes = Pool(3, 8 * S, lambda: now[0], lambda: 9 * S), [Pipe(), Pipe(), Pipe()]
-    for pipe in pipes:
+    pool, connections = (
+        Pool(3, 8 * S, lambda: now[0], lambda: 9 * S),
+        [FakeConnection(), FakeConnection(), FakeConnection()],
+    )
+    for connection in connections:
         assert pool.reserve()
-        pool.add_idle("h", pipe)
+        pool.add_idle("h", connection)
         now[0] += QUIET_PERIOD_NS * 2 // 3
-    assert [pool.take_idle("h")[0] for _ in pipes] == [pipes[1], pipes[0], None]
+    assert [pool.take_idle("h")[0] for _ in connections] == [connections[1], connections[0], None]
 
 
-def test_the_pool_says_why_it_closed_a_connection_and_what_waited_on_it():
+def test_the_pool_reports_why_it_closed_a_connection_and_its_unread_bytes():
     pool, closed = Pool(1, 8 * S, lambda: 0, lambda: 9 * S), []
     pool.on_closed = lambda _, cause, waiting=b"": closed.append((cause, waiting))
-    for spoil in (lambda peer: peer.send(b"HTTP/1.1 503"), lambda peer: peer.close()):
+    for disturb in (lambda peer: peer.send(b"HTTP/1.1 503"), lambda peer: peer.close()):
         assert pool.reserve()
-        pipe = Pipe()
-        pool.add_idle("h", pipe)
-        spoil(pipe.peer)
+        connection = FakeConnection()
+        pool.add_idle("h", connection)
+        disturb(connection.peer)
         pool.sweep()
     behind = ConnectionEnd.BYTES_BEHIND_ANSWER, b"HTTP/1.1 503"
     assert closed == [behind, (ConnectionEnd.ENDED_BY_HOST, b"")]
 
 
-def test_the_pool_is_bounded_and_idle_connections_make_room():
+def test_the_pool_is_bounded_and_evicts_idle_connections():
     pool = Pool(2, 8 * S, lambda: 0, lambda: S)
     assert pool.reserve() and pool.reserve() and not pool.reserve()
-    pool.add_idle("h", Pipe())
+    pool.add_idle("h", FakeConnection())
     assert pool.reserve() and pool.open_count == 2 and not pool.reserve()
 
 
-TOLD = {
+FIELDS = {
     "name": "a",
     "dst": "7",
     "lane": "notice",
@@ -104,8 +107,8 @@
 }
 
 
-class Still:
-    """A module that decides nothing, and remembers what it was told."""
+class PassiveDispatcher:
+    """A dispatcher that decides nothing and records the messages it was given."""
 
     def __init__(self):
         self.told = []
@@ -118,7 +121,9 @@
         return []
 
 
-class Broken(Still):
+class FaultyDispatcher(PassiveDispatcher):
+    """Raises, and returns an action that does not exist."""
+
     def take(self, now, *told):
         raise ValueError("odd")
 
@@ -126,9 +131,9 @@
         return [("no such action",)]
 
 
-def desk_of(folder, dispatcher, said=None):
+def desk_of(folder, dispatcher, logged=None):
     log = Journal(Disk(folder), 1_000_000)
-    say = (lambda event, **told: said.append(event)) if said is not None else (lambda event, **told: None)
+    say = (lambda event, **told: logged.append(event)) if logged is not None else (lambda event, **told: None)
     desk = Desk(dispatcher, {"lanes": {"notice": {}}}, HOUSE, log, 10**8, lambda: 5 * MS, say)
     desk.notices, desk.ready = Notices(desk, HOUSE, None, say), True
     desk.recover()
@@ -136,50 +141,51 @@
 
 
 def compact_all(journal):
+    """Compacts every segment but the newest."""
     journal.begin()
     for number in sorted(journal.segments)[:-1]:
         for _ in journal.compact(number):
             pass
 
 
-def test_a_fault_in_one_decision_does_not_end_the_relay(tmp_path):
-    said, wakes = [], []
-    desk = desk_of(tmp_path, Broken(), said)
+def test_an_exception_in_one_decision_does_not_stop_the_relay(tmp_path):
+    logged, wakes = [], []
+    desk = desk_of(tmp_path, FaultyDispatcher(), logged)
     desk.alarm = wakes.append
-    assert desk.take(TOLD, False) == (202, 0)
-    assert said == ["fault"] * 2 and wakes == [HOUSE["sweep"]]
+    assert desk.take(FIELDS, False) == (202, 0)
+    assert logged == ["fault"] * 2 and wakes == [HOUSE["sweep"]]
 
 
-@pytest.mark.parametrize("full_at", ["taken", "ended", "killed", "told", None])
+@pytest.mark.parametrize("compact_at", ["taken", "ended", "killed", "told", None])
 @pytest.mark.parametrize("end", [None, "returned", "failed", "delivered"])
-def test_a_compaction_at_any_moment_neither_loses_a_message_nor_brings_one_back(tmp_path, full_at, end):
-    desk = desk_of(tmp_path, Still())
+def test_a_compaction_at_any_time_neither_loses_nor_restores_a_message(tmp_path, compact_at, end):
+    desk = desk_of(tmp_path, PassiveDispatcher())
 
     def step(moment):
-        if moment == full_at:
+        if moment == compact_at:
             compact_all(desk.log)
 
     step("taken")
-    assert desk.take(TOLD, False) == (202, 0) and desk.take(TOLD, False) == (202, 0)
+    assert desk.take(FIELDS, False) == (202, 0) and desk.take(FIELDS, False) == (202, 0)
     step("ended")
-    if full_at == "killed":  # just after the compaction, before the record that asked for it
+    if compact_at == "killed":  # right after a compaction, before the record whose write started it
 
-        def die(*parts):
+        def compact_and_stop(*parts):
             compact_all(desk.log)
             desk.log.write = lambda *parts: None
 
-        desk.log.write = die
+        desk.log.write = compact_and_stop
     if end == "delivered":
         desk.finish(desk.held["a"], end)
     elif end:
         desk.end("a", end, 500, CloseCause.DEADLINE)
     step("told")
     desk.log.close()
-    again = desk_of(tmp_path, Still())
+    again = desk_of(tmp_path, PassiveDispatcher())
     assert list(again.held) == ([] if end else ["a"])
     assert [told[0] for told in again.dispatcher.told] == list(again.held)
     assert list(again.notices.pending) == (["a"] if end in ("returned", "failed") else [])
-    assert again.take(TOLD, False)[0] == {None: 202, "returned": 503, "failed": 500, "delivered": 200}[end]
+    assert again.take(FIELDS, False)[0] == {None: 202, "returned": 503, "failed": 500, "delivered": 200}[end]
     again.told_of(list(again.notices.pending))
     ends = sum(END_RECORD_BYTES + len(name) for name in again.ends)
     assert not again.owed and again.reserved_bytes == ends + sum(msg.size for msg in again.held.values())
@@ -189,21 +195,22 @@
 
 
 def desk_on(disk, now):
-    """A desk whose clock reads now[0], on a disk that can be made to fail."""
+    """A coordinator whose clock reads now[0], on a disk that can be made to fail."""
     journal, say = Journal(disk, 1_000_000), (lambda event, **told: None)
-    desk = Desk(Still(), {"lanes": {"notice": {}}}, HOUSE, journal, 10**8, lambda: now[0], say)
+    desk = Desk(PassiveDispatcher(), {"lanes": {"notice": {}}}, HOUSE, journal, 10**8, lambda: now[0], say)
     desk.notices, desk.ready = Notices(desk, HOUSE, None, None), True
     desk.recover()
     return desk
 
 
-def test_an_end_is_told_once_it_is_written_or_its_message_can_be_sent_no_more():
-    """On a full disk a relay told an end, was killed, and its next life sent the message (kills.toml)."""
+def test_a_final_state_is_announced_once_written_or_when_its_message_has_no_time_left():
+    """Guards against a closed message being sent after a restart (kills.toml): its final state was announced
+    while a full disk kept it from being written, and the relay was killed."""
     disk, now = FaultyDisk(), [5 * MS]
     desk = desk_on(disk, now)
     for name in "ab":
         left = S * (1 + (name == "b")) + HOUSE["sweep"]
-        assert desk.take(TOLD | {"name": name, "left": left}, False) == (202, 0)
+        assert desk.take(FIELDS | {"name": name, "left": left}, False) == (202, 0)
     disk.room = disk.used()
     desk.end("a", "returned", 0, CloseCause.DEADLINE)
     desk.end("b", "failed", 0, CloseCause.DEADLINE)
@@ -219,22 +226,23 @@
     assert [told[0] for kind, told, _ in again.read() if kind == OWED] == ["a", "b"]
 
 
-# Guards against a final answer that is up to a sweep late because its record could not be written.
-def test_an_end_at_its_deadline_is_told_at_once_though_it_cannot_be_written():
+# Guards against a final answer that is late by up to one sweep interval because its record could not be
+# written.
+def test_a_final_state_at_the_deadline_is_announced_at_once_though_it_cannot_be_written():
     disk, now = FaultyDisk(), [5 * MS]
     desk = desk_on(disk, now)
-    assert desk.take(TOLD, False) == (202, 0)
+    assert desk.take(FIELDS, False) == (202, 0)
     disk.room = disk.used()
-    now[0] += TOLD["left"] - 10 * MS
+    now[0] += FIELDS["left"] - 10 * MS
     desk.end("a", "returned", 0, CloseCause.DEADLINE)
     assert list(desk.notices.pending) == ["a"] and desk.unwritten
 
 
-# Guards against the same where the end comes ahead of the deadline by the final answer's reserve.
-def test_an_end_that_cannot_be_written_is_told_as_its_final_answer_is_due():
+# As above, for a message that is closed before its deadline, by the time reserved for the final answer.
+def test_a_final_state_that_cannot_be_written_is_announced_when_its_final_answer_is_due():
     disk, now = FaultyDisk(), [5 * MS]
     desk = desk_on(disk, now)
-    assert desk.take(TOLD | {"left": 4 * S}, False) == (202, 0)
+    assert desk.take(FIELDS | {"left": 4 * S}, False) == (202, 0)
     disk.room = disk.used()
     now[0] = desk.held["a"].answer_by - 10 * MS
     desk.end("a", "returned", 0, CloseCause.DEADLINE)
@@ -242,9 +250,10 @@
 
 
 @pytest.mark.parametrize("last_byte", [True, False])
-def test_a_connection_given_up_with_its_request_just_read_is_answered(last_byte):
-    """A task that has read yields before it goes on: others may then find its connection silent."""
-    ask = b"GET /ready HTTP/1.1\r\nHost: r\r\n\r\n"
+def test_a_connection_closed_as_idle_whose_request_was_just_read_is_answered(last_byte):
+    """A task yields between a read and the processing of its bytes: another task may then find the connection
+    without unread bytes and close it as idle."""
+    request = b"GET /ready HTTP/1.1\r\nHost: r\r\n\r\n"
 
     class Answers:
         def handle_request(self, request, gone, unread):
@@ -257,11 +266,11 @@
 
         async def receive(stream, size):
             data = await read(stream, size)
-            for guest in list(clients.open):
-                clients.close_waiting(guest)
+            for connection in list(clients.open):
+                clients.close_waiting(connection)
             return data
 
-        await theirs.send(ask if last_byte else ask[:9])
+        await theirs.send(request if last_byte else request[:9])
         trio.SocketStream.receive_some = receive
         try:
             with trio.fail_after(1):
@@ -279,14 +288,14 @@
     trio.run(play)
 
 
-def test_the_list_is_kept_across_lives_and_never_half_written(tmp_path):
+def test_the_endpoint_list_survives_a_restart_and_is_never_partly_written(tmp_path):
     roster = Roster(str(tmp_path), 4000)
     assert roster.read() is None and not roster.write()
     one = ("h1", "ready", "z", None, "k", "7")
     roster.learn(
         "full", [one, ("h2", "draining", "z", 2.5, "k", "7")], {"h1": ("127.0.0.1", 1), "h2": ("::1", 2)}
     )
-    assert roster.write() and not roster.write()  # only where it changed
+    assert roster.write() and not roster.write()  # only if it changed
     again = Roster(str(tmp_path), 4000)
     index, scope, entries, where = roster_of(again.read(), False)
     assert scope == "full" and one in entries and where["h2"] == ("::1", 2)
@@ -300,7 +309,7 @@
         [(f"x{i}", "ready", "z", None, "k", "7") for i in range(90)],
         {f"x{i}": ("127.0.0.1", 1) for i in range(90)},
     )
-    assert not again.write()  # too long a list is not kept
+    assert not again.write()  # a list that is too long is not saved
     for torn in (b"", b"{", b"[]", b"\xff"):
         (tmp_path / "list").write_bytes(torn)
         assert again.read() is None
@@ -308,26 +317,26 @@
     assert [file.name for file in tmp_path.iterdir()] == ["list"]
 
 
-# Guards against requests to a draining server behind a kill, by the next life, which starts from that list.
-def test_news_of_the_list_are_in_the_folder_at_once(tmp_path):
+# Guards against requests to a draining server after a kill: the next process starts from the saved list.
+def test_updates_of_the_endpoint_list_are_saved_at_once(tmp_path):
     roster = Roster(str(tmp_path), 4000)
     where = {"h1": ("127.0.0.1", 80)}
     roster.keep("full", [("h1", "ready", "z", 1.0, "k", "7")], where)
     roster.keep("changes", [("h1", "draining", "z", 1.0, "k", "7")], {})
     _, _, entries, _ = roster_of(Roster(str(tmp_path), 4000).read(), False)
     assert [(name, state) for name, state, *_ in entries] == [("h1", "draining")]
-    assert not roster.write()  # nothing is left for later
+    assert not roster.write()  # nothing was left to be saved later
 
 
-def notices_for(desk):
-    """Before a platform that refuses connections."""
+def notices_to_refusing_platform(desk):
+    """Notices whose platform refuses connections."""
     return Notices(desk, HOUSE, ("127.0.0.1", 1), lambda event, **told: None)
 
 
-# Guards against a relay that ends because another call told its notices before a call's task began.
-def test_a_notice_that_was_taken_before_another_call_with_it_began_is_sent_all_the_same():
+# Guards against a crash of the relay when another call delivers a notice before a call's own task starts.
+def test_a_call_whose_notice_was_accepted_by_another_call_is_made_without_error():
     async def play():
-        notices = notices_for(SimpleNamespace(figures=Figures()))
+        notices = notices_to_refusing_platform(SimpleNamespace(figures=Figures()))
         notices.add("a", "failed", 0)
         call = notices.start_call(["a"], trio.current_time())
         del notices.pending["a"]
@@ -337,10 +346,10 @@
     trio.run(play)
 
 
-# Guards against a notice that waits for its own next call while calls for others leave and are answered.
-def test_a_call_to_the_platform_carries_the_notices_of_calls_that_are_still_out():
+# Guards against a notice waiting for its own retry while calls with other notices are made and answered.
+def test_a_call_to_the_platform_includes_the_notices_of_calls_under_way():
     async def play():
-        notices = notices_for(SimpleNamespace(figures=Figures()))
+        notices = notices_to_refusing_platform(SimpleNamespace(figures=Figures()))
         notices.add("a", "failed", 0)
         notices.start_call(["a"], trio.current_time())
         assert not notices.next_batch(trio.current_time())
@@ -350,9 +359,9 @@
     trio.run(play)
 
 
-# Guards against clients that wait longer than their 0.4 s because descriptors were missing for a moment.
-def test_an_accept_that_fails_for_a_moment_costs_new_connections_little_and_is_logged_once():
-    said = []
+# Guards against clients waiting longer than their 0.4 s because descriptors were briefly exhausted.
+def test_an_accept_that_fails_briefly_delays_clients_little_and_is_logged_once():
+    logged = []
 
     class Listener:
         def __init__(self, *accepts):
@@ -372,12 +381,12 @@
     async def play():
         ours, theirs = trio.socket.socketpair()
         await theirs.send(b"GET /ready HTTP/1.1\r\nHost: r\r\nConnection: close\r\n\r\n")
-        lack = OSError(errno.ENFILE, "Too many open files in system")
-        listener = Listener(lack, lack, ours, trio.ClosedResourceError())
-        clients = Clients(Answers(), HOUSE, listener, 9, 1, 9999, lambda event, **told: said.append(event))
+        no_descriptors = OSError(errno.ENFILE, "Too many open files in system")
+        listener = Listener(no_descriptors, no_descriptors, ours, trio.ClosedResourceError())
+        clients = Clients(Answers(), HOUSE, listener, 9, 1, 9999, lambda event, **told: logged.append(event))
         with trio.fail_after(0.4):
             await clients.serve()
         assert (await theirs.recv(99)).startswith(b"HTTP/1.1 200 ")
 
     trio.run(play)
-    assert said == ["no descriptors for a client"]
+    assert logged == ["no descriptors for a client"]
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""The state machines, fed bytes, and the words of the protocol."""
+"""The HTTP state machines, and the parsing of headers, lists, load reports and the configuration."""
 
 import contextlib
 
@@ -18,7 +18,7 @@
 
 
 @pytest.mark.parametrize("size", [1, 2, 7, 64, len(POST) - 1, len(POST), 2 * len(POST)])
-def test_a_request_is_the_same_however_its_bytes_come(size):
+def test_a_request_is_the_same_however_its_bytes_are_split(size):
     door, found, data = Door(4096, 100), [], POST * 2
     for at in range(0, len(data), size):
         door.feed(data[at : at + size])
@@ -58,20 +58,20 @@
         call = HttpClientState(4096, 100)
         call.begin("POST", "/hook", [("Host", "h")], b"body")
 
-        def hear(call=call, size=size):
+        def receive(call=call, size=size):
             for at in range(0, len(data) or 1, size):
                 call.feed(data[at : at + size])
             return call.status, call.done, call.reusable()
 
         if outcome is Refused:
             with pytest.raises((Refused, EOFError)):
-                hear()
+                receive()
         elif size > 1 or outcome[2]:
-            assert hear() == outcome
+            assert receive() == outcome
 
 
 @pytest.mark.parametrize(
-    "data, first, settled",
+    "data, first, conclusive",
     [
         (b"HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\n", 200, False),
         (b"HTTP/1.1 200 OK\r\nX: y", 200, False),
@@ -86,15 +86,16 @@
         (b"HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\nHTTP/1.1 200 OK\r\n", 503, True),
     ],
 )
-def test_the_first_line_is_known_though_the_rest_is_spoilt(data, first, settled):
+def test_the_status_line_counts_though_the_rest_is_malformed(data, first, conclusive):
     call = HttpClientState(4096, 100)
     call.begin("POST", "/hook", [("Host", "h")])
     with contextlib.suppress(Refused):
         call.feed(data)
-    assert (call.first_line_status, call.conclusive) == (first, settled)
+    assert (call.first_line_status, call.conclusive) == (first, conclusive)
 
 
 def request_of(change=b"", to=b""):
+    """The request POST, parsed, with one text replaced."""
     door = Door(4096, 100)
     door.feed(POST.replace(change, to) if change else POST)
     return door.next()
@@ -121,7 +122,7 @@
         (b"POST", b"PUT", 405),
     ],
 )
-def test_what_a_client_says(change, to, told):
+def test_a_clients_request_as_message_fields(change, to, told):
     usual = {
         "name": "m1",
         "dst": "7",
@@ -156,7 +157,7 @@
         (410, {}, ("unsent", 0, True)),
     ],
 )
-def test_what_an_answer_means(status, headers, ending):
+def test_a_hosts_answer_as_ending(status, headers, ending):
     assert words.classify_answer(status, headers) == ending
 
 
@@ -172,14 +173,14 @@
         ("TEXT x0=0,x1=0", {"left": 0.0, "limit": 0.0}),
     ],
 )
-def test_reports(text, report):
+def test_load_reports(text, report):
     assert words.parse_load_report(text) == report
 
 
 ENTRY = {"name": "h", "address": "127.0.0.1:80", "zone": "z", "type": "k", "group": 3, "status": "leaving"}
 
 
-def test_a_watch_goes_on_from_its_version_and_asks_for_all_after_a_bad_answer():
+def test_a_watch_continues_from_its_version_and_requests_the_whole_list_after_a_malformed_answer():
     watch = Watch(False, 4)
     assert watch.target(2 * S) == "/v1/endpoints?index=4&wait=2000"
     told = orjson.dumps({"index": 5, "snapshot": False, "endpoints": [ENTRY]})
@@ -232,7 +233,7 @@
         ),
     ],
 )
-def test_what_is_read_at_start(tmp_path, settings, expected):
+def test_the_configuration_read_at_start(tmp_path, settings, expected):
     told = {
         "name": "n",
         "listen": "127.0.0.4:8081",
