--- a/courseroute/decide.py
+++ b/courseroute/decide.py
@@ -1,634 +1,945 @@
-"""Every decision of courseroute: Schedule, Don't Throttle, and the guards around it.
+"""All dispatch decisions of a relay: sends are booked ahead on a schedule instead of throttled.
 
-One Dispatcher(seed, terms) a relay, a method for each thing told, returning plain tuples; `settle` closes a
-batch. The interface stands in courseroute/model/interface.py, the reasons in docs/design.md. A message
-passes admit -> turn -> book -> release -> pick -> send; what returns comes back through `outcome`.
+There is one Dispatcher(seed, terms) for each relay. Each method handles one kind of input and returns actions
+as plain tuples; `settle` ends a batch. courseroute/model/interface.py documents the interface and
+docs/design.md the reasons. A message passes check_admission, enter_key_queue, book_slot, dispatch_due,
+pick_host and start_attempt; the result of an attempt comes in through `outcome`.
 """
+
 import random
 
 from courseroute.decisions.endpoint_list import HELD_UP, EndpointListSchedule
-from courseroute.model.agenda import Agenda
+from courseroute.model.agenda import Scheduler
 from courseroute.model.causes import CloseCause, HoldCause
-from courseroute.model.histogram import Histogram, Meter, Odds
-from courseroute.model.lines import Lines
-from courseroute.model.types import Call, Destination, Host, Lane, Leg, Message, Route, Turn, parts, set_parts
+from courseroute.model.histogram import FailureRates, Histogram, SpanCounter
+from courseroute.model.lines import RouteQueues
+from courseroute.model.types import (
+    Attempt,
+    Call,
+    Destination,
+    Host,
+    KeyQueue,
+    Lane,
+    Message,
+    Route,
+    set_values,
+    values_of,
+)
 
 MS = 1_000_000
 S = 1000 * MS
 FOREVER = 1 << 63
-HEADROOM, MOST, GROWTH, CUT, FORGET = 0.8, 1.0, 0.1, 0.7, 60 * S   # the budget, as the design page has it
-LEAST, PART = 1.0, 0.1                                      # a second: cuts leave all relays, each one's part
-EDGES = [int(10 * MS * 1.5 ** i) for i in range(20)]        # call times, 10 ms to 22 s
-MEMORY, USUAL = 64, 100 * MS    # values before a histogram is halved; a call's time while none is known
-NEVER_RAN, UNHEARD = ("full", "unreachable", "broken", "unsent"), ("timeout", "reset", "stale", "cancelled")
-EVIDENCE = {"delivered": -0.7, "error": 1.1, "timeout": 1.6, "reset": 1.1, "broken": 1.1, "unreachable": 4.5,
-            "full": 4.5}        # for the sequential test; stale: a kept connection tells nothing of its host
-BOUND, BRIEF = 4.5, 3 * S       # evidence that sets a host aside; a shorter silence is no outage
-ASIDE, SPREAD = 1 * S, 4        # set aside so long, and up to half more; tries spread over so many outages
-RENEW, LEVEL = 1 * S, 2         # ranks are renewed so often; calls before the next in rank gets one
-PATIENCE, LEAST_PATIENCE, MOST_PATIENCE = 6, 1500 * MS, 3 * S   # time-out: so many slow calls, within bounds
-SHARE_SPAN = 6 * S                                          # of its share that a customer may send at once
-LOSSY, LAG, HASTE = 0.1, 0.05, 2        # so many calls lost: connections are not kept, time-outs are halved
-SMOOTH, ROUGH = 0.1, 1.5        # weight of a new reported limit; a rough rate is at most so many times high
-LAST_SEND, LEAVE = 2400 * MS, 3000 * MS     # from the word to stop on
-OF_ROUTE = "headroom", "learned", "reported", "refused", "grown", "cut", "strict", "wait", "usual"
-OF_HOST = "evidence", "ill", "out", "aside", "rest", "trial", "climb"       # these outlast a restart
-ENDPOINT_LIST = ""      # in `memory`: a name that no host has, so that earlier versions pass over it
-USUAL_SPAN = 4 * S              # the pace before an outage is counted over two such spans, the last one begun
-HOUSE = {       # the relay's: shares of its descriptors, memory and disk, then sizes, then times
-    "client_connections": 0.5, "refusing": 0.06, "host_connections": 0.3, "half_read": 0.1, "held": 0.25,
-    "kept_list": 0.05, "learned": 0.02, "head": 16 << 10, "body": 64 << 10, "list": 4 << 20, "name": 256,
-    "ends": 1024, "legs": 8, "backlog": 512, "idle": 5 * S, "idle_share": 0.8, "between_slices": S // 250,
-    "read_within": 2 * S, "write_within": 2 * S, "list_within": 10 * S, "notice_within": 2 * S,
-    "notice_pause": S // 20, "drain_answer": S // 2, "last_words": S // 5, "sweep": S // 2,
-    "learned_for": FORGET}
-
-
-class Dispatcher(Agenda):
+# The send budget of a route. Headroom is the share of the limit that is used; see docs/design.md.
+FIRST_HEADROOM, MAX_HEADROOM, HEADROOM_GROWTH, HEADROOM_CUT, FORGET_AFTER = 0.8, 1.0, 0.1, 0.7, 60 * S
+# Sends a second: repeated cuts leave the first to all relays together, and the second to each relay.
+MIN_RATE, MIN_RELAY_RATE = 1.0, 0.1
+DURATION_EDGES = [
+    int(10 * MS * 1.5**i) for i in range(20)
+]  # histogram bin edges of call durations, 10 ms to 22 s
+# Values after which a histogram is halved; the duration assumed for a call while none is known.
+HISTOGRAM_CAP, DEFAULT_DURATION = 64, 100 * MS
+# Endings that prove the request did not run; endings without an answer.
+NEVER_RAN, UNANSWERED = (
+    ("full", "unreachable", "broken", "unsent"),
+    ("timeout", "reset", "stale", "cancelled"),
+)
+# Weights for the sequential test. `stale` has none: a kept connection that broke says nothing about its host.
+EVIDENCE_WEIGHTS = {
+    "delivered": -0.7,
+    "error": 1.1,
+    "timeout": 1.6,
+    "reset": 1.1,
+    "broken": 1.1,
+    "unreachable": 4.5,
+    "full": 4.5,
+}
+EVIDENCE_BOUND, SHORT_OUTAGE = (
+    4.5,
+    3 * S,
+)  # evidence that sets a host aside; a shorter silence is not an outage
+# A host is set aside for this time, plus up to half of it at random; trial sends of all relays together are
+# spread over this many times the outage's length.
+SET_ASIDE_FOR, OUTAGES_PER_TRY = 1 * S, 4
+# Interval between rankings of hosts; open calls of a host before the next one in rank gets a call.
+RANKING_INTERVAL, CALLS_PER_LEVEL = 1 * S, 2
+# Attempt timeout: this multiple of a slow call's duration, within the two bounds.
+TIMEOUT_FACTOR, MIN_TIMEOUT, MAX_TIMEOUT = 6, 1500 * MS, 3 * S
+QUOTA_BURST_SPAN = 6 * S  # a tenant may send this many seconds' worth of its quota at once
+# Above this share of lost calls (smoothed with the given weight) connections are not kept and timeouts are
+# divided by the last number.
+LOSS_THRESHOLD, LOSS_SMOOTHING, TIMEOUT_DIVISOR = 0.1, 0.05, 2
+# Weight of a newly reported limit; a rough listed rate may be too high by at most this factor.
+LIMIT_SMOOTHING, ROUGH_RATE_FACTOR = 0.1, 1.5
+LAST_SEND_AFTER, EXIT_AFTER = 2400 * MS, 3000 * MS  # after the request to stop: end of sending, exit
+# Names of the stored fields, in the order of their values in the stored record; they survive a restart.
+STORED_ROUTE_FIELDS = (
+    "headroom",
+    "learned_rate",
+    "reported_limit",
+    "refused_at",
+    "grown_at",
+    "cut_at",
+    "refuses_all",
+    "wait_until",
+    "usual_rate",
+)
+STORED_HOST_FIELDS = (
+    "evidence",
+    "failing_since",
+    "outage_length",
+    "set_aside_at",
+    "not_before",
+    "on_trial",
+    "ramp_since",
+)
+# Key of the endpoint list's state among the stored records. No host has this name, so earlier
+# versions skip it.
+ENDPOINT_LIST_KEY = ""
+# The rate before an outage is counted over two such spans, of which the second is still running.
+USUAL_RATE_SPAN = 4 * S
+# Resource limits of a relay: shares of its descriptors, memory and disk, then sizes in bytes or
+# items, then times.
+HOUSE = {
+    "client_connections": 0.5,
+    "refusing": 0.06,
+    "host_connections": 0.3,
+    "half_read": 0.1,
+    "held": 0.25,
+    "kept_list": 0.05,
+    "learned": 0.02,
+    "head": 16 << 10,
+    "body": 64 << 10,
+    "list": 4 << 20,
+    "name": 256,
+    "ends": 1024,
+    "legs": 8,
+    "backlog": 512,
+    "idle": 5 * S,
+    "idle_share": 0.8,
+    "between_slices": S // 250,
+    "read_within": 2 * S,
+    "write_within": 2 * S,
+    "list_within": 10 * S,
+    "notice_within": 2 * S,
+    "notice_pause": S // 20,
+    "drain_answer": S // 2,
+    "last_words": S // 5,
+    "sweep": S // 2,
+    "learned_for": FORGET_AFTER,
+}
+
+
+class Dispatcher(Scheduler):
+    """Books messages on routes, picks hosts and decides on retries. Times are in nanoseconds."""
+
     def __init__(self, seed, terms):
         super().__init__()
         self.terms = terms
-        self.draw = random.Random(seed).uniform
-        self.lanes, self.dsts, self.hosts = {}, {}, {}
-        self.open, self.legs, self.turns, self.lines, self.shares = {}, {}, {}, Lines(self.at), {}
-        self.measured, self.lost, self.areas, self.joined = {}, {}, {}, 0
-        self.idled = Odds(EDGES[::3], 4 * MEMORY)   # lost calls by idle time, of new connections none
-        self.list, self.holds_all = EndpointListSchedule(terms, self.draw), False
-        self.busy, self.watched, self.list_calls, self.closing = 0, None, 0, 1 << 63
-        self.nowhere = Destination(None)    # of all messages whose destination is not listed
+        self.uniform = random.Random(seed).uniform
+        self.lanes, self.destinations, self.hosts = {}, {}, {}
+        self.open_messages, self.attempts, self.key_queues, self.route_queues, self.quota_left = (
+            {},
+            {},
+            {},
+            RouteQueues(self.schedule),
+            {},
+        )
+        self.to_rank, self.lost_share, self.area_durations, self.hosts_added = {}, {}, {}, 0
+        self.idle_losses = FailureRates(
+            DURATION_EDGES[::3], 4 * HISTOGRAM_CAP
+        )  # lost calls by the connection's idle time, 0 if new
+        self.list_schedule, self.sending_paused = EndpointListSchedule(terms, self.uniform), False
+        self.active_calls, self.watched_since, self.list_call_number, self.sends_end_at = 0, None, 0, 1 << 63
+        self.unlisted = Destination(None)  # destination of all messages whose own is not listed
         self.slots = terms.get("slots") or 1
         self.relays = max(1, terms.get("relays") or 1)
         self.phase = (terms.get("number") or 0) % self.relays / self.relays
-        self.margin = 2 * (terms.get("tick") or 5 * MS)
-        for name, told in terms.get("lanes", {}).items():
-            self.lanes[name] = Lane(name, **told, calls=Histogram(EDGES, MEMORY))
+        self.timer_margin = 2 * (terms.get("tick") or 5 * MS)
+        for name, settings in terms.get("lanes", {}).items():
+            self.lanes[name] = Lane(name, **settings, call_durations=Histogram(DURATION_EDGES, HISTOGRAM_CAP))
 
     def start(self, now):
+        """Starts the timers; requests the endpoint list if it has to be asked for."""
         if self.terms.get("ask"):
             self.plan_list_call(now, self.call_for_list)
-        self.at(now + RENEW, self.rank)
-        return self.said()
+        self.schedule(now + RANKING_INTERVAL, self.renew_ranking)
+        return self.take_actions()
 
     def roster(self, now, scope, entries, as_of=None):
-        """`as_of`: when the list was discovery's own, as far as is known; None: now. Of a spoilt answer when
-        it was written."""
+        """Handles an endpoint list or a failed request for one.
+
+        `as_of`: when discovery's list is known to have had this content, None for now; for a malformed
+        answer, when the answer was written."""
         if scope in ("failed", "ended", "spoilt"):
-            self.watched = None
+            self.watched_since = None
             self.list_call_failed(now, scope, as_of)
-            self.plan_list_call(now + self.list.retry_after(), self.call_for_list)
-            return self.said()
+            self.plan_list_call(now + self.list_schedule.retry_after(), self.call_for_list)
+            return self.take_actions()
         if scope == "saved":
-            self.list.restored(now)
+            self.list_schedule.restored(now)
         else:
-            self.watched = now
-            self.list.answered(now, now if as_of is None else as_of)
-            if self.list.is_polled:
+            self.watched_since = now
+            self.list_schedule.answered(now, now if as_of is None else as_of)
+            if self.list_schedule.is_polled:
                 self.plan_list_call(now, self.call_for_list)
         if scope != "changes":
             for host in self.hosts.values():
-                host.listed, host.gone = False, host.gone or now
+                host.listed, host.gone_since = False, host.gone_since or now
         for name, state, area, rate, kind, where in entries:
-            host = self.hosts.get(name) or self.join(name, kind, where)
-            host.listed, host.area, host.rate = state == "ready", area, rate
-            host.gone = (host.gone or now) if state == "gone" else None
-        for dst in self.dsts.values():
-            for rt in dst.routes:
-                if rt.held and not any(host.listed for host in rt.hosts):
-                    self.rebook(now, rt, True)
-            stranded, dst.stranded = dst.stranded, []
-            for msg in (msg for msg in stranded if not msg.over):
-                self.book(now, msg)
+            host = self.hosts.get(name) or self.add_host(name, kind, where)
+            host.listed, host.area, host.listed_rate = state == "ready", area, rate
+            host.gone_since = (host.gone_since or now) if state == "gone" else None
+        for destination in self.destinations.values():
+            for route in destination.routes:
+                if route.held_messages and not any(host.listed for host in route.hosts):
+                    self.rebook(now, route, True)
+            stranded, destination.without_host = destination.without_host, []
+            for message in (message for message in stranded if not message.is_closed):
+                self.book_slot(now, message)
         for host in list(self.hosts.values()):
-            if host.gone and now - host.gone > FORGET and not host.legs:
-                self.part(now, host)
-        return self.said()
+            if host.gone_since and now - host.gone_since > FORGET_AFTER and not host.attempts:
+                self.remove_host(now, host)
+        return self.take_actions()
 
     def discovery_moved(self, now):
-        self.watched = None
-        self.list.moved(now)
+        """Discovery has a new address: requests the list there."""
+        self.watched_since = None
+        self.list_schedule.moved(now)
         self.plan_list_call(now, self.call_for_list)
-        return self.said()
+        return self.take_actions()
 
-    def part(self, now, host):
-        """All that is kept of a host ends with it, a destination with its last one: ids are always new."""
-        rt, dst = host.route, host.dst
+    def remove_host(self, now, host):
+        """Drops all state of a host, and the destination with its last host. Ids are never reused, so
+        state that was kept would accumulate."""
+        route, destination = host.route, host.destination
         del self.hosts[host.name]
-        rt.hosts.remove(host)
-        if not rt.hosts:
-            dst.routes.remove(rt)
-        if not dst.routes:
-            del self.dsts[dst.where]
-            for msg in dst.stranded:
-                self.end(now, msg, CloseCause.NO_DESTINATION)
+        route.hosts.remove(host)
+        if not route.hosts:
+            destination.routes.remove(route)
+        if not destination.routes:
+            del self.destinations[destination.name]
+            for message in destination.without_host:
+                self.close_message(now, message, CloseCause.NO_DESTINATION)
 
     def memory(self, now):
-        """What the next life is told after the list, lest it burst upon hosts that push back or are out."""
-        told = [[host.name, parts(host, OF_HOST), parts(host.route, OF_ROUTE)]
-                for host in self.hosts.values()
-                if host.trial or host.climb or host.route.refused is not None or host.route.wait > now]
-        of_list = self.list.memory()
-        return [*told, [ENDPOINT_LIST, of_list, []]] if of_list else told
-
-    def recall(self, now, told, at):
-        """What was learned ages: a wait holds to its end, a budget relaxes, after a minute nothing binds."""
+        """State that a restarted relay restores after the endpoint list. Without it the relay would send
+        a burst to hosts that refuse calls or are down."""
+        learned = [
+            [host.name, values_of(host, STORED_HOST_FIELDS), values_of(host.route, STORED_ROUTE_FIELDS)]
+            for host in self.hosts.values()
+            if host.on_trial
+            or host.ramp_since
+            or host.route.refused_at is not None
+            or host.route.wait_until > now
+        ]
+        of_list = self.list_schedule.memory()
+        return [*learned, [ENDPOINT_LIST_KEY, of_list, []]] if of_list else learned
+
+    def recall(self, now, learned, at):
+        """Restores state that was saved at `at`. A wait holds to its end, headroom grows with the state's
+        age, and after FORGET_AFTER no other limit holds."""
         age = max(0, now - at) if at else 0
-        for name, of_host, of_route in told:
-            if name == ENDPOINT_LIST:
-                self.list.recall(of_host)
+        for name, of_host, of_route in learned:
+            if name == ENDPOINT_LIST_KEY:
+                self.list_schedule.recall(of_host)
             if host := self.hosts.get(name):
-                rt = host.route
-                set_parts(rt, OF_ROUTE, of_route)
-                rt.headroom += max(0.0, MOST - rt.headroom) * min(1.0, age / FORGET)
-                if age < FORGET:
-                    set_parts(host, OF_HOST, of_host)
+                route = host.route
+                set_values(route, STORED_ROUTE_FIELDS, of_route)
+                route.headroom += max(0.0, MAX_HEADROOM - route.headroom) * min(1.0, age / FORGET_AFTER)
+                if age < FORGET_AFTER:
+                    set_values(host, STORED_HOST_FIELDS, of_host)
                 else:
-                    rt.refused, rt.learned, rt.usual = None, 0.0, 0.0
-        return self.said()
-
-    def take(self, now, name, where, lane, deadline, key=None, customer=None, again=False, legs=()):
-        """`legs` are those of an earlier life: (host, sent at, ending); one still out then may have run."""
-        lane = self.lanes.get(lane) or self.lanes.setdefault(lane, Lane(lane, calls=Histogram(EDGES, MEMORY)))
-        dst = self.dsts.get(where, self.nowhere) if self.hosts else self.destination(where)
-        deadline = min(deadline, now + (lane.deadline or 1 << 62))      # or odd ones would be kept for ever
-        msg = self.open[name] = Message(name, dst, lane, deadline, key, customer, again)
-        doubtful, msg.sent = [leg for leg in legs if leg[2] not in NEVER_RAN], len(legs)
+                    route.refused_at, route.learned_rate, route.usual_rate = None, 0.0, 0.0
+        return self.take_actions()
+
+    def take(self, now, name, where, lane, deadline, key=None, customer=None, again=False, attempts=()):
+        """Accepts a message. `attempts`: its attempts before a restart, each (host, sent at, ending); an
+        attempt without an ending may have run."""
+        lane = self.lanes.get(lane) or self.lanes.setdefault(
+            lane, Lane(lane, call_durations=Histogram(DURATION_EDGES, HISTOGRAM_CAP))
+        )
+        destination = (
+            self.destinations.get(where, self.unlisted) if self.hosts else self.destination_named(where)
+        )
+        deadline = min(
+            deadline, now + (lane.deadline or 1 << 62)
+        )  # otherwise a deadline far in the future would keep the message for ever
+        message = self.open_messages[name] = Message(name, destination, lane, deadline, key, customer, again)
+        doubtful, message.attempts_made = (
+            [attempt for attempt in attempts if attempt[2] not in NEVER_RAN],
+            len(attempts),
+        )
         if doubtful:
-            msg.first, msg.ran, msg.last_host = doubtful[0][1], True, self.hosts.get(doubtful[-1][0])
-            if msg.key and msg.lane.ordered:
-                self.turns.setdefault(msg.key, Turn()).rest = now + self.terms.get("turn_gap", 0)
-        self.at(deadline - self.margin, self.end, msg, CloseCause.DEADLINE)
-        self.at(self.late(msg), self.drop_late, msg)
-        if self.admit(now, msg) and self.turn(now, msg):
-            self.book(now, msg)
-        return self.said()
+            message.first_uncertain_at, message.may_have_run, message.last_host = (
+                doubtful[0][1],
+                True,
+                self.hosts.get(doubtful[-1][0]),
+            )
+            if message.key and message.lane.ordered:
+                self.key_queues.setdefault(message.key, KeyQueue()).not_before = now + self.terms.get(
+                    "turn_gap", 0
+                )
+        self.schedule(deadline - self.timer_margin, self.close_message, message, CloseCause.DEADLINE)
+        self.schedule(self.latest_start(message), self.close_if_late, message)
+        if self.check_admission(now, message) and self.enter_key_queue(now, message):
+            self.book_slot(now, message)
+        return self.take_actions()
 
     def withdraw(self, now, name):
-        if name in self.open:
-            self.finish(now, self.open[name])
-        return self.said()
-
-    def why_held(self, now, name, n):
-        """Asked when an attempt's connection is up: a HoldCause if it must not be sent any more, else None. A
-        wait, or a drain, may have been told since it was dispatched."""
-        leg = self.legs.get((name, n))
-        if leg is None or leg.msg.over:
+        """Closes a message that its client no longer wants."""
+        if name in self.open_messages:
+            self.complete_message(now, self.open_messages[name])
+        return self.take_actions()
+
+    def why_held(self, now, name, number):
+        """The HoldCause for which an attempt must not be sent although its connection is up, else None. A
+        wait or a drain may have been reported since it was dispatched."""
+        attempt = self.attempts.get((name, number))
+        if attempt is None or attempt.message.is_closed:
             return HoldCause.CLOSED
-        if not leg.host.listed:
+        if not attempt.host.listed:
             return HoldCause.NOT_LISTED
-        if self.list.is_unusable(now):
+        if self.list_schedule.is_unusable(now):
             return HoldCause.LIST_TOO_OLD
-        if now < leg.host.route.wait:
+        if now < attempt.host.route.wait_until:
             return HoldCause.TOLD_WAIT
-        return None if now < self.repeatable_until(leg.msg, leg.first) else HoldCause.WINDOW_CLOSED
-
-    def send_by(self, name, n):
-        """The time by which the last byte of that attempt has to be written, None where none is set."""
-        leg = self.legs.get((name, n))
-        until = self.repeatable_until(leg.msg, leg.first) if leg else FOREVER
+        return (
+            None
+            if now < self.repeatable_until(attempt.message, attempt.first_uncertain_at)
+            else HoldCause.WINDOW_CLOSED
+        )
+
+    def send_by(self, name, number):
+        """The time by which the attempt's last byte has to be written; None if there is no limit."""
+        attempt = self.attempts.get((name, number))
+        until = self.repeatable_until(attempt.message, attempt.first_uncertain_at) if attempt else FOREVER
         return None if until == FOREVER else until
 
-    def first_may_have_run(self, name, n):
-        """(dispatch time of the first attempt that may have run, idempotency window), in nanoseconds, where
-        the n-th attempt repeats such a one; else None. The window is 0 for a lane that has none."""
-        leg = self.legs.get((name, n))
-        return None if leg is None or leg.first is None else (leg.first, leg.msg.lane.window)
+    def first_may_have_run(self, name, number):
+        """(dispatch time of the first attempt that may have run, idempotency window), in nanoseconds, if this
+        attempt repeats such a one; else None. The window is 0 for a class that has none."""
+        attempt = self.attempts.get((name, number))
+        return (
+            None
+            if attempt is None or attempt.first_uncertain_at is None
+            else (attempt.first_uncertain_at, attempt.message.lane.window)
+        )
 
     def stop(self, now):
-        """What can't be sent before the end is given back to other relays, where that is harmless."""
-        self.closing = now + LAST_SEND
-        self.at(self.closing, self.give_back)
-        self.at(now + LEAVE, lambda now: self.acts.append(("exit",)))
-        return self.said()
-
-    def give_back(self, now):
-        for msg in [msg for msg in self.open.values() if not msg.out and self.harmless(now, msg)]:
-            self.end(now, msg, CloseCause.STOPPING)
-        self.acts.append(("see off",))      # not before: the others' parts of the limits don't grow
+        """Starts the shutdown: messages that can't be sent in time go back to their clients if a retry is
+        safe."""
+        self.sends_end_at = now + LAST_SEND_AFTER
+        self.schedule(self.sends_end_at, self.return_unsent)
+        self.schedule(now + EXIT_AFTER, lambda now: self.actions.append(("exit",)))
+        return self.take_actions()
+
+    def return_unsent(self, now):
+        """Pushes back messages that were not sent before the shutdown."""
+        for message in [
+            message
+            for message in self.open_messages.values()
+            if not message.pending and self.is_safe_to_retry(now, message)
+        ]:
+            self.close_message(now, message, CloseCause.STOPPING)
+        self.actions.append(("see off",))  # not earlier: the other relays' shares of the limits don't grow
 
     def wake(self, now):
-        self.armed = None
-        return self.said()
-
-    def outcome(self, now, name, n, where, ending, took, wait, report, over, idle=None):
-        leg = self.legs.pop((name, n), None)
-        if leg is None:
-            return self.said()
-        msg, host, call, rt = leg.msg, leg.host, leg.call, leg.host.route
-        del host.legs[(name, n)]
-        msg.out, call.left = msg.out - 1, call.left - 1
-        if not call.left:
-            self.busy, host.calls, rt.calls = self.busy - 1, host.calls - 1, rt.calls - 1
-        if ending in UNHEARD and msg.key and msg.lane.ordered:
-            self.turns[msg.key].rest = now + self.terms.get("turn_gap", 0)
-        msg.ran = msg.ran or ending not in NEVER_RAN
-        if not (msg.ran or msg.out):
-            msg.first = None
+        """A requested timer fired; `settle` does the work."""
+        self.timer_at = None
+        return self.take_actions()
+
+    def outcome(self, now, name, number, where, ending, took, wait, report, over, idle=None):
+        """Handles the end of an attempt; see courseroute/model/interface.py."""
+        attempt = self.attempts.pop((name, number), None)
+        if attempt is None:
+            return self.take_actions()
+        message, host, call, route = attempt.message, attempt.host, attempt.call, attempt.host.route
+        del host.attempts[(name, number)]
+        message.pending, call.pending = message.pending - 1, call.pending - 1
+        if not call.pending:
+            self.active_calls, host.active_calls, route.active_calls = (
+                self.active_calls - 1,
+                host.active_calls - 1,
+                route.active_calls - 1,
+            )
+        if ending in UNANSWERED and message.key and message.lane.ordered:
+            self.key_queues[message.key].not_before = now + self.terms.get("turn_gap", 0)
+        message.may_have_run = message.may_have_run or ending not in NEVER_RAN
+        if not (message.may_have_run or message.pending):
+            message.first_uncertain_at = None
         if report:
-            told = report["limit"]      # noisy: smoothed, but nought and a first figure count at once
-            rt.reported = told if not (told and rt.reported) else rt.reported + (told - rt.reported) * SMOOTH
-        alone = ending == "full" and self.refusal(now, rt, wait)
+            # The reported limit is noisy and is smoothed, but a zero and the first value apply at once.
+            limit = report["limit"]
+            route.reported_limit = (
+                limit
+                if not (limit and route.reported_limit)
+                else route.reported_limit + (limit - route.reported_limit) * LIMIT_SMOOTHING
+            )
+        alone = ending == "full" and self.handle_refusal(now, route, wait)
         if ending == "delivered":
-            host.times.add(took)
-            self.areas.setdefault(host.area, Histogram(EDGES, MEMORY)).add(took)
-            msg.lane.calls.add(took)
-            rt.served.add(now)
-            rt.before.add(now)
-        self.keep_connection(host, ending, idle)
-        self.measured[msg.dst.where] = msg.dst
-        self.judge(now, host, ending, leg, alone)
+            host.durations.add(took)
+            self.area_durations.setdefault(host.area, Histogram(DURATION_EDGES, HISTOGRAM_CAP)).add(took)
+            message.lane.call_durations.add(took)
+            route.recent_deliveries.add(now)
+            route.usual_deliveries.add(now)
+        self.record_connection_loss(host, ending, idle)
+        self.to_rank[message.destination.name] = message.destination
+        self.record_evidence(now, host, ending, attempt, alone)
         if over:
-            self.finish(now, msg)
-            if ending == "unsent":  # its booking is free again, lest the withdrawn hold up the living
-                rt.spent = max(0, rt.spent - 1)
-                self.rebook(now, rt)
-        elif not msg.over and not msg.out:
-            msg.seq = 0         # a fresh booking, where the lane still allows one
-            self.book(now, msg)
-        if msg.over and not msg.out:
-            self.pass_turn(now, msg)
-        return self.said()
+            self.complete_message(now, message)
+            if ending == "unsent":  # frees its slot, so that withdrawn messages don't delay others
+                route.charged_sends = max(0, route.charged_sends - 1)
+                self.rebook(now, route)
+        elif not message.is_closed and not message.pending:
+            message.booking_number = 0  # a new booking, if the class still allows an attempt
+            self.book_slot(now, message)
+        if message.is_closed and not message.pending:
+            self.leave_key_queue(now, message)
+        return self.take_actions()
 
     def settle(self, now):
+        """Ends a batch: runs due events, sends due messages and requests the next timer."""
         self.run_due(now)
-        if now < self.closing:
-            self.release(now)
-        self.arm(now)
-        return self.said()
+        if now < self.sends_end_at:
+            self.dispatch_due(now)
+        self.request_timer(now)
+        return self.take_actions()
 
     def plan_list_call(self, when, call):
-        """Only the newest call planned is made: no storm on a discovery that fails."""
-        self.list_calls += 1
-        self.at(when, call, self.list_calls)
+        """Plans a request to discovery. Only the latest plan is carried out, so that a failing discovery
+        is not flooded."""
+        self.list_call_number += 1
+        self.schedule(when, call, self.list_call_number)
 
     def call_for_list(self, now, number):
-        """Calls discovery, and plans the next call in case that one brings no answer in time."""
-        if number == self.list_calls:
-            self.acts.append(("watch", self.list.call_wait()))
-            self.plan_list_call(now + self.list.late_after(), self.call_again)
-
-    def call_again(self, now, number):
-        """Behind a call that has not answered; a watch that stands is left alone."""
-        if number != self.list_calls or (self.watched is not None and not self.list.is_polled):
+        """Requests the list, and plans the next request in case no answer comes in time."""
+        if number == self.list_call_number:
+            self.actions.append(("watch", self.list_schedule.call_wait()))
+            self.plan_list_call(now + self.list_schedule.late_after(), self.repeat_list_call)
+
+    def repeat_list_call(self, now, number):
+        """Repeats a request that was not answered in time; a standing watch is left alone."""
+        if number != self.list_call_number or (
+            self.watched_since is not None and not self.list_schedule.is_polled
+        ):
             return
-        if self.list.is_polled:
+        if self.list_schedule.is_polled:
             self.list_call_failed(now, "late")
         self.call_for_list(now, number)
 
     def list_call_failed(self, now, how, written_at=None):
-        first = self.list.failing_since is None
+        first = self.list_schedule.failing_since is None
         if how == "ended":
-            self.list.ended(now)
+            self.list_schedule.ended(now)
         elif how == "spoilt":
-            self.list.spoilt(now, written_at)
+            self.list_schedule.spoilt(now, written_at)
         else:
-            self.list.failed(now, is_late=how == "late")
-        if first:       # then discovery may count as down, and what is held may go
-            self.at(self.list.taken_for_down_at(), int)
-
-    def late(self, msg):
-        return msg.deadline - (msg.lane.calls.quantile(0.5) or USUAL) - self.margin
-
-    def destination(self, where):
-        return self.dsts.setdefault(where, Destination(where))
-
-    def join(self, name, kind, where):
-        dst = self.destination(where)
-        told = self.terms.get("kinds", {}).get(kind, {})
-        if told.get("apart") or not dst.routes:
-            rt = Route(self.joined, dst, told.get("per_call", 1), served=Meter(S), before=Meter(USUAL_SPAN))
-            dst.routes.append(rt)
-        rt = dst.routes[-1]
-        host = self.hosts[name] = Host(name, self.joined, dst, rt, kind, times=Histogram(EDGES, MEMORY))
-        rt.hosts.append(host)
-        self.joined += 1
+            self.list_schedule.failed(now, is_late=how == "late")
+        if first:  # at that time discovery counts as down, and held messages may be sent
+            self.schedule(self.list_schedule.taken_for_down_at(), int)
+
+    def latest_start(self, message):
+        """The time from which an attempt would probably miss the deadline."""
+        return (
+            message.deadline
+            - (message.lane.call_durations.quantile(0.5) or DEFAULT_DURATION)
+            - self.timer_margin
+        )
+
+    def destination_named(self, where):
+        return self.destinations.setdefault(where, Destination(where))
+
+    def add_host(self, name, kind, where):
+        """Adds a host, and its route and destination where they are new."""
+        destination = self.destination_named(where)
+        settings = self.terms.get("kinds", {}).get(kind, {})
+        if settings.get("apart") or not destination.routes:
+            route = Route(
+                self.hosts_added,
+                destination,
+                settings.get("per_call", 1),
+                recent_deliveries=SpanCounter(S),
+                usual_deliveries=SpanCounter(USUAL_RATE_SPAN),
+            )
+            destination.routes.append(route)
+        route = destination.routes[-1]
+        host = self.hosts[name] = Host(
+            name,
+            self.hosts_added,
+            destination,
+            route,
+            kind,
+            durations=Histogram(DURATION_EDGES, HISTOGRAM_CAP),
+        )
+        route.hosts.append(host)
+        self.hosts_added += 1
         return host
 
-    def rank(self, now):
-        """The timer that renews the order of hosts and routes; who was not measured stands by its area."""
+    def renew_ranking(self, now):
+        """Periodically sorts hosts and routes. A host without measured calls is ranked by those of its
+        area."""
+
         def standing(host):
             near = host.area == self.terms.get("area")
-            usual = host.times if near else self.areas.get(host.area, host.times)
-            slow = host.times.quantile(0.5) or usual.quantile(0.5) or 0
-            return not host.listed, host.evidence >= BOUND / 2, slow, host.index
-        for dst in self.measured.values():      # only where something came back since the last time
-            for rt in dst.routes:
-                rt.hosts.sort(key=standing)
-            dst.routes.sort(key=lambda rt: standing(rt.hosts[0]))
-        self.measured.clear()
-        for rt in {msg.route.index: msg.route for msg in self.open.values() if msg.route}.values():
-            if self.budget(now, rt) and rt.booked < rt.headroom:
-                self.rebook(now, rt)    # what was booked under a smaller budget would stay late
-        self.at(now + RENEW, self.rank)
-
-    def admit(self, now, msg):
-        """One destination may hold as much as is still free: its backlog must not shut out the others."""
-        quota = self.terms.get("customers", {}).get(msg.customer, 0) / self.relays
-        if quota:       # beyond its share a message is worth little: it may wait for its target time only
-            at, left = self.shares.get(msg.customer, (now, 1 << 30))
-            left = min(max(1.0, quota * SHARE_SPAN / S), left + quota * (now - at) / S)
-            msg.over_share = left < 1
-            self.shares[msg.customer] = now, left - (not msg.over_share)
-        free = self.terms.get("room", 1 << 30) - len(self.open) - sum(len(rt.held) for rt in msg.dst.routes)
-        if msg.dst is self.nowhere:
-            self.end(now, msg, CloseCause.NO_DESTINATION)
-        elif now >= self.late(msg):
-            self.end(now, msg, CloseCause.TOO_LATE)
+            usual = host.durations if near else self.area_durations.get(host.area, host.durations)
+            slow = host.durations.quantile(0.5) or usual.quantile(0.5) or 0
+            return not host.listed, host.evidence >= EVIDENCE_BOUND / 2, slow, host.index
+
+        for destination in self.to_rank.values():  # only destinations with a result since the last time
+            for route in destination.routes:
+                route.hosts.sort(key=standing)
+            destination.routes.sort(key=lambda route: standing(route.hosts[0]))
+        self.to_rank.clear()
+        for route in {
+            message.route.index: message.route for message in self.open_messages.values() if message.route
+        }.values():
+            if self.send_budget(now, route) and route.booked_headroom < route.headroom:
+                self.rebook(now, route)  # messages booked under the smaller budget would stay late
+        self.schedule(now + RANKING_INTERVAL, self.renew_ranking)
+
+    def check_admission(self, now, message):
+        """Rejects a message that has no destination, time or room. A destination may hold as many messages as
+        there is free room, so that its backlog does not lock out the others."""
+        quota = self.terms.get("customers", {}).get(message.customer, 0) / self.relays
+        if quota:  # a message beyond the quota is worth little: it may wait for its target time only
+            at, left = self.quota_left.get(message.customer, (now, 1 << 30))
+            left = min(max(1.0, quota * QUOTA_BURST_SPAN / S), left + quota * (now - at) / S)
+            message.over_share = left < 1
+            self.quota_left[message.customer] = now, left - (not message.over_share)
+        free = (
+            self.terms.get("room", 1 << 30)
+            - len(self.open_messages)
+            - sum(len(route.held_messages) for route in message.destination.routes)
+        )
+        if message.destination is self.unlisted:
+            self.close_message(now, message, CloseCause.NO_DESTINATION)
+        elif now >= self.latest_start(message):
+            self.close_message(now, message, CloseCause.TOO_LATE)
         elif free < 0:
-            self.end(now, msg, CloseCause.NO_ROOM)
-        return not msg.over
+            self.close_message(now, message, CloseCause.NO_ROOM)
+        return not message.is_closed
 
-    def turn(self, now, msg):
-        """The messages of a key one at a time, in the order taken: who has its turn is booked from there."""
-        if not (msg.key and msg.lane.ordered):
+    def enter_key_queue(self, now, message):
+        """Puts an ordered message into its key's queue, which sends one message at a time in order of
+        arrival. True if the message has no such queue."""
+        if not (message.key and message.lane.ordered):
             return True
-        self.turns.setdefault(msg.key, Turn()).line.append(msg)
-        return self.give_turn(now, msg.key)
-
-    def pass_turn(self, now, msg):
-        """A message is over and has no leg out: the next of its key may go once the key has rested."""
-        turn = self.turns.get(msg.key)
-        if self.open.pop(msg.name, None) and turn:
-            if msg in turn.line:        # one that was not admitted never stood in it
-                turn.line.remove(msg)
-            self.at(now, self.give_turn, msg.key)
-
-    def give_turn(self, now, key):
-        turn = self.turns.get(key)
-        if turn and now < turn.rest:
-            self.at(turn.rest, self.give_turn, key)
-        elif turn and not turn.line:
-            del self.turns[key]
+        self.key_queues.setdefault(message.key, KeyQueue()).queue.append(message)
+        return self.book_next_of_key(now, message.key)
+
+    def leave_key_queue(self, now, message):
+        """Removes a closed message without open attempts; the next of its key follows after the ordering
+        gap."""
+        turn = self.key_queues.get(message.key)
+        if self.open_messages.pop(message.name, None) and turn:
+            if message in turn.queue:  # a message that was not admitted is not in the queue
+                turn.queue.remove(message)
+            self.schedule(now, self.book_next_of_key, message.key)
+
+    def book_next_of_key(self, now, key):
+        turn = self.key_queues.get(key)
+        if turn and now < turn.not_before:
+            self.schedule(turn.not_before, self.book_next_of_key, key)
+        elif turn and not turn.queue:
+            del self.key_queues[key]
         elif turn:
-            first = turn.line[0]
-            if not (first.over or first.route or first.out or first in first.dst.stranded):
-                self.book(now, first)
-
-    def limit(self, rt):
-        """This relay's part of the listed or reported limit, else what was served; one send at the least."""
-        told = rt.reported if rt.hosts[0].rate is None else rt.hosts[0].rate
-        least = PART if rt.strict or rt.reported is not None else LEAST
-        return max(min(least, told), told / self.relays) if told else rt.learned
-
-    def budget(self, now, rt):
-        """Sends a second; None while only told waits bind."""
-        if rt.refused is not None and now - rt.refused > FORGET:
-            rt.refused = None
-        if rt.refused is None or rt.reported == 0:
+            first = turn.queue[0]
+            if not (
+                first.is_closed or first.route or first.pending or first in first.destination.without_host
+            ):
+                self.book_slot(now, first)
+
+    def rate_limit(self, route):
+        """This relay's share of the listed or reported limit, else the learned rate, in sends a second."""
+        limit = route.reported_limit if route.hosts[0].listed_rate is None else route.hosts[0].listed_rate
+        least = MIN_RELAY_RATE if route.refuses_all or route.reported_limit is not None else MIN_RATE
+        return max(min(least, limit), limit / self.relays) if limit else route.learned_rate
+
+    def send_budget(self, now, route):
+        """Allowed sends a second; None while only waits requested by the host limit the route."""
+        if route.refused_at is not None and now - route.refused_at > FORGET_AFTER:
+            route.refused_at = None
+        if route.refused_at is None or route.reported_limit == 0:
             return None
-        if clean := (now - rt.grown) // S:
-            rt.grown += clean * S
-            clean = min(clean, rt.served.most(now))     # seconds without deliveries prove nothing
-            rt.headroom = min(MOST, rt.headroom + GROWTH * clean)
-            rt.learned *= (1 + GROWTH) ** clean
-        return rt.headroom * self.limit(rt)
-
-    def refusal(self, now, rt, wait):
-        """Cuts the budget; tells if nothing was delivered since the last cut: who is shut refuses all."""
-        fresh = rt.refused is None or now - rt.cut >= S
-        alone = fresh and rt.refused is not None and rt.cut > rt.heard
-        if rt.refused is None or rt.reported == 0:
-            rt.headroom, rt.learned = HEADROOM, max(LEAST, rt.served.most(now))
+        if clean := (now - route.grown_at) // S:
+            route.grown_at += clean * S
+            clean = min(
+                clean, route.recent_deliveries.highest(now)
+            )  # seconds without deliveries are no evidence of capacity
+            route.headroom = min(MAX_HEADROOM, route.headroom + HEADROOM_GROWTH * clean)
+            route.learned_rate *= (1 + HEADROOM_GROWTH) ** clean
+        return route.headroom * self.rate_limit(route)
+
+    def handle_refusal(self, now, route, wait):
+        """Cuts the budget after a refusal. True if nothing was delivered since the last cut: the
+        destination is then taken to refuse everything."""
+        fresh = route.refused_at is None or now - route.cut_at >= S
+        alone = fresh and route.refused_at is not None and route.cut_at > route.last_delivered_at
+        if route.refused_at is None or route.reported_limit == 0:
+            route.headroom, route.learned_rate = (
+                FIRST_HEADROOM,
+                max(MIN_RATE, route.recent_deliveries.highest(now)),
+            )
             if fresh:
-                self.log(f"route {rt.index}: budget begins at {rt.headroom * self.limit(rt):.2f}/s")
+                self.log(
+                    f"route {route.index}: budget begins at {route.headroom * self.rate_limit(route):.2f}/s"
+                )
         elif fresh:
-            rt.headroom = max(rt.headroom * CUT, min(rt.headroom, LEAST / self.relays / self.limit(rt)))
-        rt.cut, rt.strict = now if fresh else rt.cut, alone or rt.strict and rt.refused is not None
-        rt.refused = rt.grown = now
-        rt.spent = min(rt.spent, max(1.0, self.budget(now, rt) or 1.0))
-        rt.wait = max(rt.wait, now + wait if wait else 0)
-        self.rebook(now, rt, now < rt.wait)
+            route.headroom = max(
+                route.headroom * HEADROOM_CUT,
+                min(route.headroom, MIN_RATE / self.relays / self.rate_limit(route)),
+            )
+        route.cut_at, route.refuses_all = (
+            now if fresh else route.cut_at,
+            alone or route.refuses_all and route.refused_at is not None,
+        )
+        route.refused_at = route.grown_at = now
+        route.charged_sends = min(route.charged_sends, max(1.0, self.send_budget(now, route) or 1.0))
+        route.wait_until = max(route.wait_until, now + wait if wait else 0)
+        self.rebook(now, route, now < route.wait_until)
         return alone
 
-    def slot(self, now, rt):
-        """The second with room, its bookings; a cursor behind now moves to now, a full second steps on."""
-        budget = self.budget(now, rt)
+    def find_slot(self, now, route):
+        """(second with room, sends booked in it, messages in the call). A cursor in the past moves to
+        now, and a full second moves it to the next one. The last item is 0 for a route without a
+        budget."""
+        budget = self.send_budget(now, route)
         if budget is None:
-            return max(now, rt.wait), 0, 0
-        if rt.per_call > 1 and rt.second > now and 0 < rt.riders < rt.per_call:
-            return rt.second, rt.used, rt.riders + 1
-        begin, second, used = max(now, rt.wait), rt.second, rt.used
+            return max(now, route.wait_until), 0, 0
+        if route.per_call > 1 and route.next_second > now and 0 < route.call_messages < route.per_call:
+            return route.next_second, route.booked_sends, route.call_messages + 1
+        begin, second, used = max(now, route.wait_until), route.next_second, route.booked_sends
         start = begin // S * S
-        if second < start:      # what was booked above a small budget is not forgotten
+        if second < start:  # bookings beyond a small budget are carried over
             second, used = start, max(0.0, used - budget * (start - second) / S)
-        if second == start:     # places that went by unused are not made up for in a burst
+        if second == start:  # slots that passed unused are not made up for in a burst
             used = max(used, budget * (begin - start) / S - 1)
-        while used > 0 and used + 1 > budget:   # a fraction of a send is carried, and a first one has room
+        while (
+            used > 0 and used + 1 > budget
+        ):  # fractions of a send are carried over; the first one always fits
             second, used = second + S, used - budget
         return second, used + 1, 1
 
-    def book(self, now, msg):
-        usable = [rt for rt in msg.dst.routes if any(self.allowed(host, msg) for host in rt.hosts)]
+    def book_slot(self, now, message):
+        """Books the message on the route with the earliest slot, or closes it if that is too late."""
+        usable = [
+            route
+            for route in message.destination.routes
+            if any(self.may_use(host, message) for host in route.hosts)
+        ]
         if not usable:
-            return msg.dst.stranded.append(msg)
+            return message.destination.without_host.append(message)
 
-        def soonest(rt):
-            back = min(host.rest for host in rt.hosts if host.listed)
-            return max(now, self.slot(now, rt)[0], back), rt.calls // LEVEL
-        rt = min(usable, key=soonest)
-        second, used, riders = self.slot(now, rt)
+        def soonest(route):
+            """Sort key: the earliest send time on a route, then its open calls."""
+            back = min(host.not_before for host in route.hosts if host.listed)
+            return max(now, self.find_slot(now, route)[0], back), route.active_calls // CALLS_PER_LEVEL
+
+        route = min(usable, key=soonest)
+        second, used, riders = self.find_slot(now, route)
         due = max(now, second)
-        if riders:      # its place inside its second: evenly spaced, and apart from the other relays' places
-            apart = S * (max(0.0, used - 1) + self.phase) / max(1.0, self.budget(now, rt))
-            due = max(now, rt.wait, second + int(apart))
-        last = min(self.late(msg), now + msg.lane.target if msg.over_share else self.late(msg))
-        last = min(last, self.closing) if self.harmless(now, msg) else last
-        if not self.may_send(due, msg):
-            return self.end(now, msg, self.why_no_attempt(msg))
+        if riders:  # the slot inside its second: evenly spaced, offset from those of the other relays
+            apart = S * (max(0.0, used - 1) + self.phase) / max(1.0, self.send_budget(now, route))
+            due = max(now, route.wait_until, second + int(apart))
+        last = min(
+            self.latest_start(message),
+            now + message.lane.target if message.over_share else self.latest_start(message),
+        )
+        last = min(last, self.sends_end_at) if self.is_safe_to_retry(now, message) else last
+        if not self.may_send(due, message):
+            return self.close_message(now, message, self.why_no_attempt(message))
         if due >= last:
-            return self.end(now, msg, CloseCause.BOOKED_TOO_LATE)
-        rt.second, rt.used, rt.riders = second, used, riders
-        self.ticket += 1
-        msg.seq = msg.seq or self.ticket
-        msg.due, msg.route = due, rt
-        rt.held[msg.name] = msg
-        self.lines.expect(rt, msg)
-
-    def rebook(self, now, rt, due_too=False):
-        """Books anew what a route holds, in its order; what has a slot already keeps it but where told."""
-        kept = 0 if due_too else sum(msg.due <= now for msg in rt.held.values())
-        moved = [msg for msg in rt.held.values() if due_too or msg.due > now]
-        rt.second, rt.used, rt.riders = rt.spent_from, rt.spent + kept, 0
-        rt.booked = rt.headroom
-        for msg in moved:
-            del rt.held[msg.name]
-            msg.route = None
-        for msg in sorted(moved, key=lambda msg: msg.seq):
-            self.book(now, msg)
-
-    # Release: a slot for those whose second has come, in booking order.
-
-    def release(self, now):
-        self.note_whether_list_is_unusable(now)
-        for rt, msg in self.lines.walk():
-            if not self.may_send(now, msg):     # a window may close while a message waits for its slot
-                self.end(now, msg, self.why_no_attempt(msg))
-            elif not self.holds_all and (host := self.pick(now, rt, msg)):
-                self.send(now, msg, rt, host)
-
-    def note_whether_list_is_unusable(self, now):
-        holds_all = self.list.is_unusable(now)
-        if holds_all != self.holds_all:
-            self.holds_all = holds_all
+            return self.close_message(now, message, CloseCause.BOOKED_TOO_LATE)
+        route.next_second, route.booked_sends, route.call_messages = second, used, riders
+        self.sequence += 1
+        message.booking_number = message.booking_number or self.sequence
+        message.due_at, message.route = due, route
+        route.held_messages[message.name] = message
+        self.route_queues.add(route, message)
+
+    def rebook(self, now, route, due_too=False):
+        """Books a route's held messages again, in order. Messages that are already due keep their slots
+        unless `due_too`."""
+        kept = 0 if due_too else sum(message.due_at <= now for message in route.held_messages.values())
+        moved = [message for message in route.held_messages.values() if due_too or message.due_at > now]
+        route.next_second, route.booked_sends, route.call_messages = (
+            route.charged_from,
+            route.charged_sends + kept,
+            0,
+        )
+        route.booked_headroom = route.headroom
+        for message in moved:
+            del route.held_messages[message.name]
+            message.route = None
+        for message in sorted(moved, key=lambda message: message.booking_number):
+            self.book_slot(now, message)
+
+    # Sending: messages whose time has come get a call, in booking order.
+
+    def dispatch_due(self, now):
+        self.update_sending_paused(now)
+        for route, message in self.route_queues.heads():
+            if not self.may_send(now, message):  # the window may close while a message waits for a call
+                self.close_message(now, message, self.why_no_attempt(message))
+            elif not self.sending_paused and (host := self.pick_host(now, route, message)):
+                self.start_attempt(now, message, route, host)
+
+    def update_sending_paused(self, now):
+        holds_all = self.list_schedule.is_unusable(now)
+        if holds_all != self.sending_paused:
+            self.sending_paused = holds_all
             what = "may be out of date, nothing is sent" if holds_all else "is used again"
-            self.log(f"endpoint list {what}, failed calls {self.list.failures}")
-
-    # Pick: hosts in ranked order, each filled up to a level before the next.
-
-    def allowed(self, host, msg):
-        bound = msg.first is not None and msg.lane.effect == "keyed" and msg.lane.group == "zone"
-        return host.listed and not (bound and host.area != (msg.last_host and msg.last_host.area))
-
-    def pick(self, now, rt, msg):
-        free = rt.calls < self.slots - self.busy
-        usable = [host for host in rt.hosts if now >= rt.wait and self.allowed(host, msg)
-                  and (self.rides(now, host) or free and self.ready(now, host))]
-        return min(usable, default=None, key=lambda host: (
-            not self.rides(now, host), host is msg.last_host, host.calls // LEVEL))
-
-    def rides(self, now, host):
+            self.log(f"endpoint list {what}, failed calls {self.list_schedule.failures}")
+
+    # Host selection: in order of rank, each host filled up to a level before the next.
+
+    def may_use(self, host, message):
+        """Whether the host may get the message; some keyed classes are bound to a zone."""
+        bound = (
+            message.first_uncertain_at is not None
+            and message.lane.effect == "keyed"
+            and message.lane.group == "zone"
+        )
+        return host.listed and not (bound and host.area != (message.last_host and message.last_host.area))
+
+    def pick_host(self, now, route, message):
+        free = route.active_calls < self.slots - self.active_calls
+        usable = [
+            host
+            for host in route.hosts
+            if now >= route.wait_until
+            and self.may_use(host, message)
+            and (self.joins_call(now, host) or free and self.is_available(now, host))
+        ]
+        return min(
+            usable,
+            default=None,
+            key=lambda host: (
+                not self.joins_call(now, host),
+                host is message.last_host,
+                host.active_calls // CALLS_PER_LEVEL,
+            ),
+        )
+
+    def joins_call(self, now, host):
+        """Whether the message can join a call that starts in this batch."""
         call = host.open_call
-        return call and call.at == now and call.size < host.route.per_call and call.left
+        return call and call.started_at == now and call.message_count < host.route.per_call and call.pending
 
-    def ready(self, now, host):
-        if now < host.rest:
-            self.at(host.rest, int)     # only wakes: the release that closes the batch does the rest
+    def is_available(self, now, host):
+        """Whether a new call may start; a host with an old unanswered attempt gets none."""
+        if now < host.not_before:
+            self.schedule(host.not_before, int)  # only wakes the relay: `settle` then sends
             return False
-        first = next(iter(host.legs.values()), None)
-        return not first or host.trial or host.heard > first.at or now - first.at < self.patience(host) // 2
-
-    def patience(self, host):
-        """A call's time-out; its bound, and its halving where calls get lost, guard slots and target time."""
-        haste = HASTE if self.lost.get(host.kind, 0.0) > LOSSY else 1
-        slow = host.times.quantile(0.9) or max(lane.calls.quantile(0.9) or 0 for lane in self.lanes.values())
-        return min(max(LEAST_PATIENCE, PATIENCE * slow), MOST_PATIENCE) // haste
-
-    def send(self, now, msg, rt, host):
-        until = min(now + (LEAST_PATIENCE if host.trial else self.patience(host)), msg.deadline - self.margin)
-        if not self.rides(now, host):
+        first = next(iter(host.attempts.values()), None)
+        return (
+            not first
+            or host.on_trial
+            or host.last_delivered_at > first.started_at
+            or now - first.started_at < self.attempt_timeout(host) // 2
+        )
+
+    def attempt_timeout(self, host):
+        """An attempt's timeout. Its upper bound, and its halving where calls get lost, protect call slots
+        and target times."""
+        haste = TIMEOUT_DIVISOR if self.lost_share.get(host.kind, 0.0) > LOSS_THRESHOLD else 1
+        slow = host.durations.quantile(0.9) or max(
+            lane.call_durations.quantile(0.9) or 0 for lane in self.lanes.values()
+        )
+        return min(max(MIN_TIMEOUT, TIMEOUT_FACTOR * slow), MAX_TIMEOUT) // haste
+
+    def start_attempt(self, now, message, route, host):
+        """Starts an attempt, in a new call or in one that starts in this batch."""
+        until = min(
+            now + (MIN_TIMEOUT if host.on_trial else self.attempt_timeout(host)),
+            message.deadline - self.timer_margin,
+        )
+        if not self.joins_call(now, host):
             host.open_call = Call(host, now)
-            self.busy, host.calls, rt.calls = self.busy + 1, host.calls + 1, rt.calls + 1
+            self.active_calls, host.active_calls, route.active_calls = (
+                self.active_calls + 1,
+                host.active_calls + 1,
+                route.active_calls + 1,
+            )
             second = now // S * S
-            if second > rt.spent_from:
-                paid = (self.budget(now, rt) or rt.spent) * (second - rt.spent_from) / S
-                rt.spent_from, rt.spent = second, max(0.0, rt.spent - paid)
-            rt.spent += 1
-            if host.climb is not None:
-                host.rest = now + max(self.spacing(now, host), LEAST_PATIENCE * host.trial)
-        call, n = host.open_call, msg.sent
-        call.size, call.left = call.size + 1, call.left + 1
-        del rt.held[msg.name]
-        msg.route, msg.last_host = None, host
-        self.legs[(msg.name, n)] = host.legs[(msg.name, n)] = Leg(msg, n, host, now, until, call, msg.first)
-        msg.first = msg.first if msg.first is not None else now
-        msg.sent, msg.out = n + 1, msg.out + 1
-        self.acts.append(("send", msg.name, host.name, until))
-
-    def judge(self, now, host, ending, leg, alone):
-        """The sequential test; most outages take all hosts of a destination: a failure counts against all."""
-        rt, weight = host.route, EVIDENCE.get(ending, 0.0)
+            if second > route.charged_from:
+                paid = (
+                    (self.send_budget(now, route) or route.charged_sends) * (second - route.charged_from) / S
+                )
+                route.charged_from, route.charged_sends = second, max(0.0, route.charged_sends - paid)
+            route.charged_sends += 1
+            if host.ramp_since is not None:
+                host.not_before = now + max(self.send_interval(now, host), MIN_TIMEOUT * host.on_trial)
+        call, number = host.open_call, message.attempts_made
+        call.message_count, call.pending = call.message_count + 1, call.pending + 1
+        del route.held_messages[message.name]
+        message.route, message.last_host = None, host
+        self.attempts[(message.name, number)] = host.attempts[(message.name, number)] = Attempt(
+            message, number, host, now, until, call, message.first_uncertain_at
+        )
+        message.first_uncertain_at = (
+            message.first_uncertain_at if message.first_uncertain_at is not None else now
+        )
+        message.attempts_made, message.pending = number + 1, message.pending + 1
+        self.actions.append(("send", message.name, host.name, until))
+
+    def record_evidence(self, now, host, ending, attempt, alone):
+        """Sequential test for outages. A failure counts against all hosts of a route, since most outages
+        affect a whole destination."""
+        route, weight = host.route, EVIDENCE_WEIGHTS.get(ending, 0.0)
         if ending == "delivered":
             host.evidence = max(0.0, host.evidence + weight)
-            if host.trial:      # a short failure is no outage, it only lost some calls
-                host.trial, host.evidence, host.rest = False, 0.0, now
-                host.climb = now if max(host.out, self.spacing(now, host)) > BRIEF else None
-                self.log(f"host {host.index}: returned, failures over {host.out // MS} ms")
-            host.ill, host.heard, rt.heard = None, now, now
+            if host.on_trial:  # a short failure is not an outage and needs no ramp-up
+                host.on_trial, host.evidence, host.not_before = False, 0.0, now
+                host.ramp_since = (
+                    now if max(host.outage_length, self.send_interval(now, host)) > SHORT_OUTAGE else None
+                )
+                self.log(f"host {host.index}: returned, failures over {host.outage_length // MS} ms")
+            host.failing_since, host.last_delivered_at, route.last_delivered_at = None, now, now
         elif weight and (alone or ending != "full"):
-            host.ill = leg.at if host.ill is None else host.ill     # it was ill when that leg left
-            for other in rt.hosts:
-                if other is host or rt.heard <= host.ill:
+            host.failing_since = (
+                attempt.started_at if host.failing_since is None else host.failing_since
+            )  # it was failing when that attempt started
+            for other in route.hosts:
+                if other is host or route.last_delivered_at <= host.failing_since:
                     other.evidence += weight
-                    if other.evidence >= BOUND and leg.at >= other.aside:
-                        self.set_aside(now, other, ending, host.ill)
+                    if other.evidence >= EVIDENCE_BOUND and attempt.started_at >= other.set_aside_at:
+                        self.set_aside(now, other, ending, host.failing_since)
 
     def set_aside(self, now, host, ending, ill):
-        """All relays that saw it fail try it again, and their tries can push it over: they are spaced."""
+        """Stops sending to a host for a time. All relays that saw it fail try it again, and together
+        these trials can overload it, so they are spaced."""
         self.log(f"host {host.index}: set aside on {ending}, evidence {host.evidence:.1f}")
-        host.ill = ill if host.ill is None else host.ill
-        if host.climb is None:      # what it took before is known to be within its limits, whatever these are
-            host.route.usual = (host.route.before.last + host.route.before.count) * S / (2 * USUAL_SPAN)
-        host.trial, host.climb, host.aside, host.out = True, now, now, now - host.ill
-        host.rest = now + ASIDE + int(self.draw(0, max(ASIDE / 2, 2 * (self.spacing(now, host) - ASIDE))))
-        if len(host.dst.routes) > 1:
+        host.failing_since = ill if host.failing_since is None else host.failing_since
+        if host.ramp_since is None:  # the rate it served before is known to be within its limits
+            host.route.usual_rate = (
+                (host.route.usual_deliveries.last + host.route.usual_deliveries.count)
+                * S
+                / (2 * USUAL_RATE_SPAN)
+            )
+        host.on_trial, host.ramp_since, host.set_aside_at, host.outage_length = (
+            True,
+            now,
+            now,
+            now - host.failing_since,
+        )
+        host.not_before = (
+            now
+            + SET_ASIDE_FOR
+            + int(
+                self.uniform(0, max(SET_ASIDE_FOR / 2, 2 * (self.send_interval(now, host) - SET_ASIDE_FOR)))
+            )
+        )
+        if len(host.destination.routes) > 1:
             self.rebook(now, host.route, True)
 
     def fresh_for(self, now):
-        """So long may a kept connection have stood idle: longer ones are lost more often than new ones."""
-        return self.idled.sound_below(LOSSY)
-
-    def keep_connection(self, host, ending, idle):
-        """Where calls to a kind get lost none is kept idle: for full tables, and those dropped unseen."""
-        lost = ending in ("unreachable", "broken", *UNHEARD)
-        self.idled.add(idle or 0, lost)
-        share = self.lost.get(host.kind, 0.0)
-        self.lost[host.kind] = share = share + (lost - share) * LAG
-        if share > LOSSY and not host.calls:
-            self.acts.append(("close", host.name))
-
-    def spacing(self, now, host):
-        """Between sends to a host that was out: all relays together stay under the rule's multiple."""
-        since, cold = now - host.climb, self.terms.get("cold", 10 * S)
+        """How long a connection may have been idle to be reused; older ones are lost more often than new
+        ones."""
+        return self.idle_losses.reliable_below(LOSS_THRESHOLD)
+
+    def record_connection_loss(self, host, ending, idle):
+        """Records whether a call was lost. Where calls to a kind of host get lost, its idle connections
+        are closed: connection tables may be full, or connections dropped unnoticed."""
+        lost = ending in ("unreachable", "broken", *UNANSWERED)
+        self.idle_losses.add(idle or 0, lost)
+        share = self.lost_share.get(host.kind, 0.0)
+        self.lost_share[host.kind] = share = share + (lost - share) * LOSS_SMOOTHING
+        if share > LOSS_THRESHOLD and not host.active_calls:
+            self.actions.append(("close", host.name))
+
+    def send_interval(self, now, host):
+        """Time between sends to a host that returns from an outage. All relays together stay below the
+        permitted multiple of its rate."""
+        since, cold = now - host.ramp_since, self.terms.get("cold", 10 * S)
         many = max(1, sum(other.listed for other in host.route.hosts))
-        if since >= cold and not host.trial:
-            host.climb = None
+        if since >= cold and not host.on_trial:
+            host.ramp_since = None
             return 0
         start = self.terms.get("cold_from", 0.2)
-        share = start if host.trial else start + (1 - start) * since / cold
-        told = host.rate or host.route.reported
-        rate = told / self.relays if told else host.route.learned or host.route.usual or LEAST / self.relays
+        share = start if host.on_trial else start + (1 - start) * since / cold
+        limit = host.listed_rate or host.route.reported_limit
+        rate = (
+            limit / self.relays
+            if limit
+            else host.route.learned_rate or host.route.usual_rate or MIN_RATE / self.relays
+        )
         rate /= many
-        rate *= share * max(1.0, self.terms.get("overload", 1.0)) / (ROUGH if self.terms.get("rough") else 1)
-        least = min(S / rate / many, SPREAD * SPREAD * ASIDE) / SPREAD
-        return int(min(S / rate, many * max(least, SPREAD * host.out)))
-
-    def may_send(self, when, msg):
-        if msg.sent >= self.terms.get("legs", 1 << 30):
+        rate *= (
+            share
+            * max(1.0, self.terms.get("overload", 1.0))
+            / (ROUGH_RATE_FACTOR if self.terms.get("rough") else 1)
+        )
+        least = min(S / rate / many, OUTAGES_PER_TRY * OUTAGES_PER_TRY * SET_ASIDE_FOR) / OUTAGES_PER_TRY
+        return int(min(S / rate, many * max(least, OUTAGES_PER_TRY * host.outage_length)))
+
+    def may_send(self, when, message):
+        """Whether a further attempt is permitted at that time."""
+        if message.attempts_made >= self.terms.get("legs", 1 << 30):
             return False
-        return when < self.repeatable_until(msg, msg.first)
+        return when < self.repeatable_until(message, message.first_uncertain_at)
 
-    def repeatable_until(self, msg, first):
-        """The time before which an attempt may be written; `first`: when the first one that may have run was
-        dispatched, or None. A repeat has to arrive inside the lane's window, whatever holds the relay up."""
-        if first is None or msg.lane.effect == "retriable":
+    def repeatable_until(self, message, first):
+        """The time before which an attempt has to be written. `first`: when the first attempt that may
+        have run was dispatched, or None. A retry has to arrive inside the class's window even if the
+        relay is delayed."""
+        if first is None or message.lane.effect == "retriable":
             return FOREVER
-        return first + msg.lane.window - self.margin - HELD_UP if msg.lane.effect == "keyed" else 0
-
-    def drop_late(self, now, msg):
-        """Guards against sending what can no longer be delivered in time."""
-        if now < self.late(msg):
-            self.at(self.late(msg), self.drop_late, msg)
-        elif not msg.out:
-            self.end(now, msg, CloseCause.TOO_LATE)
-
-    def why_no_attempt(self, msg):
+        return (
+            first + message.lane.window - self.timer_margin - HELD_UP if message.lane.effect == "keyed" else 0
+        )
+
+    def close_if_late(self, now, message):
+        """Closes a message that can no longer be delivered in time."""
+        if now < self.latest_start(message):
+            self.schedule(self.latest_start(message), self.close_if_late, message)
+        elif not message.pending:
+            self.close_message(now, message, CloseCause.TOO_LATE)
+
+    def why_no_attempt(self, message):
         """The cause that closes a message for which `may_send` says no."""
-        if msg.sent >= self.terms.get("legs", 1 << 30):
+        if message.attempts_made >= self.terms.get("legs", 1 << 30):
             return CloseCause.NO_ATTEMPT_LEFT
-        return CloseCause.WINDOW_CLOSED if msg.lane.effect == "keyed" else CloseCause.MAY_HAVE_RUN
-
-    def harmless(self, now, msg):
-        lane = msg.lane
-        return msg.first is None or lane.effect == "retriable" or (
-            lane.effect == "keyed" and lane.group == "all" and self.may_send(now, msg))
-
-    def end(self, now, msg, cause):
-        """The one final answer: pushed back where trying again is harmless, failed else."""
-        if msg.over:
+        return CloseCause.WINDOW_CLOSED if message.lane.effect == "keyed" else CloseCause.MAY_HAVE_RUN
+
+    def is_safe_to_retry(self, now, message):
+        """Whether a client may send the message again without a duplicate effect."""
+        lane = message.lane
+        return (
+            message.first_uncertain_at is None
+            or lane.effect == "retriable"
+            or (lane.effect == "keyed" and lane.group == "all" and self.may_send(now, message))
+        )
+
+    def close_message(self, now, message, cause):
+        """Gives the one final answer: pushed back if a retry is safe, else failed."""
+        if message.is_closed:
             return
-        if self.harmless(now, msg):
-            stay = max((min(rt.second, rt.wait or rt.second) - now for rt in msg.dst.routes), default=S)
+        if self.is_safe_to_retry(now, message):
+            stay = max(
+                (
+                    min(route.next_second, route.wait_until or route.next_second) - now
+                    for route in message.destination.routes
+                ),
+                default=S,
+            )
             stay = max(0, min(stay, self.terms.get("stay_away", 0)))
-            self.acts.append(("push back", msg.name, stay, cause))
+            self.actions.append(("push back", message.name, stay, cause))
         else:
-            self.acts.append(("fail", msg.name, cause))
-        if msg.out and self.terms.get("cancel"):
-            self.acts += [("cancel", msg.name, n) for n in range(msg.sent) if (msg.name, n) in self.legs]
-        self.finish(now, msg)
-
-    def finish(self, now, msg):
-        msg.over = True
-        if msg.route:
-            msg.route.held.pop(msg.name, None)
-            msg.route = None
-        if not msg.out:
-            self.pass_turn(now, msg)
+            self.actions.append(("fail", message.name, cause))
+        if message.pending and self.terms.get("cancel"):
+            self.actions += [
+                ("cancel", message.name, number)
+                for number in range(message.attempts_made)
+                if (message.name, number) in self.attempts
+            ]
+        self.complete_message(now, message)
+
+    def complete_message(self, now, message):
+        """Closes a message and frees its booking."""
+        message.is_closed = True
+        if message.route:
+            message.route.held_messages.pop(message.name, None)
+            message.route = None
+        if not message.pending:
+            self.leave_key_queue(now, message)
--- a/courseroute/model/agenda.py
+++ b/courseroute/model/agenda.py
@@ -1,30 +1,32 @@
-"""Agenda mechanics: what is to be done later, in time order, and the actions said meanwhile."""
+"""A queue of timed events, and the list of actions that they and the inputs produce."""
 
 import heapq
 
 
-class Agenda:
+class Scheduler:
+    """Runs callbacks in order of time; the caller collects the actions."""
+
     def __init__(self):
-        self.acts, self.agenda, self.ticket, self.armed = [], [], 0, None
+        self.actions, self.events, self.sequence, self.timer_at = [], [], 0, None
 
-    def at(self, when, what, *told):
-        self.ticket += 1
-        heapq.heappush(self.agenda, (when, self.ticket, what, told))
+    def schedule(self, when, callback, *args):
+        self.sequence += 1
+        heapq.heappush(self.events, (when, self.sequence, callback, args))
 
     def run_due(self, now):
-        while self.agenda and self.agenda[0][0] <= now:
-            _, _, what, told = heapq.heappop(self.agenda)
-            what(now, *told)
+        while self.events and self.events[0][0] <= now:
+            _, _, callback, args = heapq.heappop(self.events)
+            callback(now, *args)
 
-    def arm(self, now):
-        """Asks for a wake-up where none so early is asked for yet."""
-        if self.agenda and (self.armed is None or self.agenda[0][0] < self.armed):
-            self.armed = self.agenda[0][0]
-            self.acts.append(("wake", self.armed - now))
+    def request_timer(self, now):
+        """Requests a timer for the first event, unless one at least as early is already requested."""
+        if self.events and (self.timer_at is None or self.events[0][0] < self.timer_at):
+            self.timer_at = self.events[0][0]
+            self.actions.append(("wake", self.timer_at - now))
 
     def log(self, text):
-        self.acts.append(("log", text))
+        self.actions.append(("log", text))
 
-    def said(self):
-        acts, self.acts = self.acts, []
-        return acts
+    def take_actions(self):
+        actions, self.actions = self.actions, []
+        return actions
--- a/courseroute/model/histogram.py
+++ b/courseroute/model/histogram.py
@@ -1,9 +1,11 @@
-"""Histogram mechanics: coarse bins by edges the caller hands in, halved when the caller's cap is reached."""
+"""Histograms and counters that age: bins have the caller's edges and are halved when its cap is reached."""
 
 from bisect import bisect_left
 
 
 class Histogram:
+    """Counts of values by bin; halved at the cap, so that recent values weigh more."""
+
     __slots__ = ("edges", "counts", "total", "cap")
 
     def __init__(self, edges, cap):
@@ -31,35 +33,35 @@
         return self.edges[-1]
 
 
-class Odds:
-    """How often things went wrong, by size: coarse bins, halved together when the caller's cap is reached."""
+class FailureRates:
+    """Failures and totals by bins of a value, halved together when the caller's cap is reached."""
 
-    __slots__ = ("edges", "cap", "all", "wrong")
+    __slots__ = ("edges", "cap", "totals", "failures")
 
     def __init__(self, edges, cap):
         self.edges, self.cap = edges, cap
-        self.all, self.wrong = [0] * (len(edges) + 1), [0] * (len(edges) + 1)
+        self.totals, self.failures = [0] * (len(edges) + 1), [0] * (len(edges) + 1)
 
-    def add(self, value, wrong):
+    def add(self, value, failed):
         at = bisect_left(self.edges, value)
-        self.all[at] += 1
-        self.wrong[at] += wrong
-        if sum(self.all) >= self.cap:
-            self.all = [count // 2 for count in self.all]
-            self.wrong = [count // 2 for count in self.wrong]
-
-    def sound_below(self, share):
-        """The lower edge of the first bin in which that share more went wrong than in the least bin, and one
-        more by chance."""
-        least = self.wrong[0] / max(1, self.all[0])
-        for at in range(1, len(self.all)):
-            if self.wrong[at] > (share + least) * self.all[at] + 1:
+        self.totals[at] += 1
+        self.failures[at] += failed
+        if sum(self.totals) >= self.cap:
+            self.totals = [count // 2 for count in self.totals]
+            self.failures = [count // 2 for count in self.failures]
+
+    def reliable_below(self, share):
+        """The lower edge of the first bin whose failure rate exceeds that of the lowest bin by more than
+        `share`. One failure more is allowed for chance. The last edge if there is no such bin."""
+        least = self.failures[0] / max(1, self.totals[0])
+        for at in range(1, len(self.totals)):
+            if self.failures[at] > (share + least) * self.totals[at] + 1:
                 return self.edges[at - 1]
         return self.edges[-1]
 
 
-class Meter:
-    """Counts events in spans of a given length; keeps the last full span beside the running one."""
+class SpanCounter:
+    """Counts events in spans of a given length; keeps the last full span and the running one."""
 
     __slots__ = ("span", "start", "count", "last")
 
@@ -78,6 +80,7 @@
         self.roll(now)
         self.count += 1
 
-    def most(self, now):
+    def highest(self, now):
+        """The larger count of the last full span and the running one."""
         self.roll(now)
         return max(self.count, self.last)
--- a/courseroute/model/lines.py
+++ b/courseroute/model/lines.py
@@ -1,50 +1,56 @@
-"""Queue mechanics: messages that stand in line for a route, each line in booking order."""
+"""Queues of due messages, one for each route, in booking order."""
 
 import heapq
 
 
-class Lines:
-    """A message that was booked elsewhere or is over stays in its heap until it comes to the front."""
+class RouteQueues:
+    """A message that was booked elsewhere or closed stays in its heap until it reaches the front."""
 
     def __init__(self, at):
-        self.routes, self.at = {}, at
+        self.routes, self.schedule = {}, at
 
-    def expect(self, rt, msg):
-        msg.lined = False
-        self.plan(rt, msg.due)
+    def add(self, route, message):
+        message.is_queued = False
+        self.schedule_due(route, message.due_at)
 
-    def plan(self, rt, due):
-        """One event a route, for its soonest booking: one for each would outlast many a rebooking."""
-        if rt.next is None or due < rt.next:
-            rt.next = due
-            self.at(due, self.fall_due, rt, due)
+    def schedule_due(self, route, due):
+        """Schedules one event for a route, at its earliest booking. Events for each booking would pile up
+        when messages are booked again."""
+        if route.next_due is None or due < route.next_due:
+            route.next_due = due
+            self.schedule(due, self.enqueue_due, route, due)
 
-    def fall_due(self, now, rt, due):
-        if rt.next != due:
+    def enqueue_due(self, now, route, due):
+        if route.next_due != due:
             return
-        rt.next = None
-        for msg in [msg for msg in rt.held.values() if not msg.lined]:
-            if msg.due <= now:
-                msg.lined = True
-                heapq.heappush(rt.line, (msg.seq, msg.name, msg))
-                self.routes[rt.index] = rt
+        route.next_due = None
+        for message in [message for message in route.held_messages.values() if not message.is_queued]:
+            if message.due_at <= now:
+                message.is_queued = True
+                heapq.heappush(route.queue, (message.booking_number, message.name, message))
+                self.routes[route.index] = route
             else:
-                self.plan(rt, msg.due)
-
-    def first(self, rt):
-        while rt.line and (rt.line[0][2].route is not rt or rt.line[0][2].over):
-            heapq.heappop(rt.line)
-        if not rt.line:
-            self.routes.pop(rt.index, None)
-        return bool(rt.line)
-
-    def walk(self):
-        """(route, message) in booking order; a route whose first message stays is left alone from then on."""
-        heads = [(rt.line[0][0], rt.index, rt) for rt in list(self.routes.values()) if self.first(rt)]
+                self.schedule_due(route, message.due_at)
+
+    def has_waiting(self, route):
+        while route.queue and (route.queue[0][2].route is not route or route.queue[0][2].is_closed):
+            heapq.heappop(route.queue)
+        if not route.queue:
+            self.routes.pop(route.index, None)
+        return bool(route.queue)
+
+    def heads(self):
+        """Yields (route, message) in booking order. A route whose first message stays queued is not
+        visited again."""
+        heads = [
+            (route.queue[0][0], route.index, route)
+            for route in list(self.routes.values())
+            if self.has_waiting(route)
+        ]
         heapq.heapify(heads)
         while heads:
-            _, _, rt = heapq.heappop(heads)
-            msg = rt.line[0][2]
-            yield rt, msg
-            if msg.route is not rt and self.first(rt):
-                heapq.heappush(heads, (rt.line[0][0], rt.index, rt))
+            _, _, route = heapq.heappop(heads)
+            message = route.queue[0][2]
+            yield route, message
+            if message.route is not route and self.has_waiting(route):
+                heapq.heappush(heads, (route.queue[0][0], route.index, route))
--- a/courseroute/model/types.py
+++ b/courseroute/model/types.py
@@ -1,4 +1,4 @@
-"""Plain records that the decisions keep. Times are whole nanoseconds. No figure or choice stands here."""
+"""Records that the dispatcher keeps. Times are in nanoseconds. No constant or decision is defined here."""
 
 from collections import deque
 from dataclasses import dataclass, field
@@ -6,133 +6,149 @@
 
 @dataclass(slots=True, eq=False)
 class Lane:
+    """A message class and its delivery rules."""
+
     name: str
     target: int = 0
     deadline: int = 0
     effect: str = "non-retriable"  # retriable, keyed or non-retriable
-    group: str = "cell"  # keyed: the hosts that know a repeat: all, zone or cell
+    group: str = "cell"  # keyed: which hosts recognise a repeated key: all, zone or cell
     window: int = 0
     value: float = 1.0
     late_value: float = 0.0
     ordered: bool = False
-    calls: object = None  # histogram of delivered calls' times
+    call_durations: object = None  # histogram of delivered calls
 
 
 @dataclass(slots=True, eq=False)
 class Message:
+    """An accepted message that has no final answer yet, or still has open attempts."""
+
     name: str
-    dst: object
+    destination: object
     lane: Lane
     deadline: int
     key: str | None = None
     customer: str | None = None
-    again: bool = False
-    over_share: bool = False
-    seq: int = 0  # its place in booking order
-    due: int = 0
-    lined: bool = False  # its slot has come, it stands in line
-    route: object = None  # where it is booked and held, None else
-    sent: int = 0  # legs so far
-    out: int = 0  # legs without an outcome
-    first: int | None = None  # send time of the first leg that may have run or is out
-    ran: bool = False  # some leg's outcome leaves that open
+    is_retry: bool = False
+    over_share: bool = False  # beyond its tenant's quota
+    booking_number: int = 0  # position in booking order
+    due_at: int = 0
+    is_queued: bool = False  # its time has come and it is in the route's queue
+    route: object = None  # where it is booked and held, else None
+    attempts_made: int = 0
+    pending: int = 0  # attempts without an outcome
+    first_uncertain_at: int | None = None  # start of the first attempt that may have run or is pending
+    may_have_run: bool = False  # the outcome of some attempt does not rule it out
     last_host: object = None
-    over: bool = False
+    is_closed: bool = False
 
 
 @dataclass(slots=True, eq=False)
 class Call:
+    """A request to a host that carries one or more messages."""
+
     host: object
-    at: int
-    size: int = 0
-    left: int = 0
+    started_at: int
+    message_count: int = 0
+    pending: int = 0  # messages without an outcome
 
 
 @dataclass(slots=True, eq=False)
-class Leg:
-    msg: Message
-    n: int
+class Attempt:
+    """One try to deliver a message, as part of a call."""
+
+    message: Message
+    number: int
     host: object
-    at: int
-    until: int
+    started_at: int
+    expires_at: int
     call: Call
-    first: int | None = None  # dispatch time of the first that may have run, if this repeats it
+    first_uncertain_at: int | None = None  # start of the first attempt that may have run, if this repeats it
 
 
 @dataclass(slots=True, eq=False)
 class Host:
+    """An endpoint of a destination."""
+
     name: str
     index: int
-    dst: object
+    destination: object
     route: object
     kind: str = ""
     area: str = ""
-    rate: float | None = None
-    listed: bool = True  # may get new work
-    gone: int | None = None  # no more on the list since
-    calls: int = 0
-    legs: dict = field(default_factory=dict)
+    listed_rate: float | None = None
+    listed: bool = True  # may get new messages
+    gone_since: int | None = None  # when it left the endpoint list
+    active_calls: int = 0
+    attempts: dict = field(default_factory=dict)
     open_call: Call | None = None
-    times: object = None  # histogram of delivered calls' times
-    heard: int = 0  # last delivered
-    evidence: float = 0.0  # of the sequential test
-    ill: int | None = None  # first failure since the last delivery
-    out: int = 0  # how long its last spell without delivery was
-    aside: int = 0  # last set aside at
-    rest: int = 0  # nothing is sent before
-    trial: bool = False  # returned, but nothing delivered yet
-    climb: int | None = None  # climbing since
+    durations: object = None  # histogram of delivered calls
+    last_delivered_at: int = 0
+    evidence: float = 0.0  # sum of the sequential test
+    failing_since: int | None = None  # start of the first failure since the last delivery
+    outage_length: int = 0  # how long it last went without a delivery
+    set_aside_at: int = 0  # when it was last set aside
+    not_before: int = 0  # nothing is sent before this time
+    on_trial: bool = False  # was set aside and has delivered nothing since
+    ramp_since: int | None = None  # start of the ramp-up after an outage
 
 
 @dataclass(slots=True, eq=False)
 class Route:
+    """Hosts that share a send budget and a booking cursor."""
+
     index: int
-    dst: object
+    destination: object
     per_call: int = 1
     hosts: list = field(default_factory=list)
-    second: int = 0  # the cursor: start of the second with room
-    used: float = 0.0  # and its bookings
-    riders: int = 0  # messages in the last booked call
-    wait: int = 0  # told wait's end
-    refused: int | None = None  # last refusal; None while nothing binds
-    headroom: float = 0.0
-    learned: float = 0.0
-    reported: float | None = None
-    cut: int = 0
-    strict: bool = False  # it refused all for a second
-    heard: int = 0  # last delivered
-    booked: float = 0.0  # headroom under which the held ones were booked
-    grown: int = 0
-    spent_from: int = 0
-    spent: int = 0
-    calls: int = 0
-    served: object = None
-    before: object = None  # deliveries over longer spans
-    usual: float = 0.0  # deliveries a second before the last outage
-    held: dict = field(default_factory=dict)  # messages booked here and not sent, in booking order
-    next: int | None = None  # the soonest slot of those, while one is awaited
-    line: list = field(default_factory=list)  # those whose slot has come, a heap by booking order
+    next_second: int = 0  # booking cursor: start of the second that has room
+    booked_sends: float = 0.0  # sends booked in that second
+    call_messages: int = 0  # messages in the last booked call
+    wait_until: int = 0  # end of the wait that the host requested
+    refused_at: int | None = None  # last refusal; None while no budget applies
+    headroom: float = 0.0  # share of the limit that the budget uses
+    learned_rate: float = 0.0
+    reported_limit: float | None = None
+    cut_at: int = 0  # last cut of the headroom
+    refuses_all: bool = False  # refused everything for a second
+    last_delivered_at: int = 0
+    booked_headroom: float = 0.0  # headroom under which the held messages were booked
+    grown_at: int = 0  # last growth of the headroom
+    charged_from: int = 0  # start of the second from which charged_sends counts
+    charged_sends: int = 0
+    active_calls: int = 0
+    recent_deliveries: object = None  # counter over seconds
+    usual_deliveries: object = None  # counter over longer spans
+    usual_rate: float = 0.0  # deliveries a second before the last outage
+    held_messages: dict = field(default_factory=dict)  # booked here and not sent, in booking order
+    next_due: int | None = None  # earliest due time of those, while an event for it is scheduled
+    queue: list = field(default_factory=list)  # heap by booking order of those that are due
 
 
 @dataclass(slots=True, eq=False)
 class Destination:
-    where: str | None
+    """A group of hosts that can each deliver its messages."""
+
+    name: str | None
     routes: list = field(default_factory=list)
-    stranded: list = field(default_factory=list)  # messages without a host to book on
+    without_host: list = field(default_factory=list)  # messages without a host to book on
 
 
 @dataclass(slots=True, eq=False)
-class Turn:
-    """A key's messages in the order taken, and the rest the key must keep."""
+class KeyQueue:
+    """Messages of one ordering key in order of arrival, and the time before which none may be sent."""
 
-    line: deque = field(default_factory=deque)
-    rest: int = 0
+    queue: deque = field(default_factory=deque)
+    not_before: int = 0
 
 
-def parts(thing, names):
+def values_of(thing, names):
+    """The values of the named attributes."""
     return [getattr(thing, name) for name in names]
 
 
-def set_parts(thing, names, values):
-    for name, value in zip(names, values, strict=False):  # an older life may have told of fewer
+def set_values(thing, names, values):
+    """Sets the named attributes; `values` may be shorter, as earlier versions stored fewer."""
+    for name, value in zip(names, values, strict=False):
         setattr(thing, name, value)
--- a/tests/test_decide.py
+++ b/tests/test_decide.py
@@ -4,10 +4,10 @@
 import pytest
 from helpers import MS, Relay, S, named
 
-from courseroute.decide import BOUND, CUT, LEAVE
+from courseroute.decide import EVIDENCE_BOUND, EXIT_AFTER, HEADROOM_CUT
 from courseroute.decisions.final_answer import answer_by
 from courseroute.model.causes import HoldCause
-from courseroute.model.types import Leg
+from courseroute.model.types import Attempt
 
 
 def refused_relay(**more):
@@ -33,24 +33,24 @@
     for name in names[:-1]:
         relay.back(name, "delivered")
     relay.back(names[-1], "full", report=told)
-    rt = relay.relay.hosts["a"].route
-    assert relay.relay.budget(relay.now, rt) == pytest.approx(expected)
+    route = relay.relay.hosts["a"].route
+    assert relay.relay.send_budget(relay.now, route) == pytest.approx(expected)
 
 
 @pytest.mark.parametrize("clean, delivered, refusals, expected", [
     (0, 9, 1, 0.8), (1, 9, 1, 0.9), (5, 9, 1, 1.0), (5, 0, 1, 0.8), (5, 1, 1, 0.9),
-    (0, 9, 2, 0.8), (1, 9, 2, 0.9 * CUT), (61, 9, 1, None),
+    (0, 9, 2, 0.8), (1, 9, 2, 0.9 * HEADROOM_CUT), (61, 9, 1, None),
 ])
 def test_headroom_grows_when_clean_and_is_cut_when_refused(clean, delivered, refusals, expected):
     relay = refused_relay(hosts=[("a", 10.0)])
-    rt, d = relay.relay.hosts["a"].route, relay.relay
+    route, d = relay.relay.hosts["a"].route, relay.relay
     relay.now += clean * S
     for _ in range(delivered):
-        rt.served.add(relay.now)
-    d.budget(relay.now, rt)
+        route.recent_deliveries.add(relay.now)
+    d.send_budget(relay.now, route)
     if refusals == 2:
-        d.refusal(relay.now, rt, 0)
-    budget = d.budget(relay.now, rt)
+        d.handle_refusal(relay.now, route, 0)
+    budget = d.send_budget(relay.now, route)
     assert budget == (expected and pytest.approx(10 * expected))
 
 
@@ -60,7 +60,7 @@
     nought = Relay(hosts=[("a", None)])
     name, _ = nought.take()
     nought.back(name, "full", report={"left": 0, "limit": 0.0})
-    assert nought.relay.budget(nought.now, nought.relay.hosts["a"].route) is None
+    assert nought.relay.send_budget(nought.now, nought.relay.hosts["a"].route) is None
 
 
 @pytest.mark.parametrize("rate, most", [(1.0, 11), (2.5, 26), (0.4, 6)])
@@ -84,7 +84,7 @@
     before = len(relay.sends())
     for _ in range(waits):
         end = relay.now + 600 * MS
-        relay.relay.refusal(relay.now, relay.relay.hosts["a"].route, 600 * MS)
+        relay.relay.handle_refusal(relay.now, relay.relay.hosts["a"].route, 600 * MS)
         sent = len(relay.sends())
         relay.run(595 * MS)
         assert all(act[0] >= end for act in relay.sends()[sent:])
@@ -119,33 +119,33 @@
 ])
 def test_further_legs_only_where_the_lane_allows(lane, ending, later, again, answer):
     relay = Relay(hosts=[("a", 9.0), ("b", 9.0)])
-    name, acts = relay.take(lane)
+    name, actions = relay.take(lane)
     relay.now += later
-    acts = relay.back(name, ending, host=acts[0][2]) + relay.run(4 * S)
-    assert bool(named(acts, "send")) == again
-    assert [act[0] for act in acts if act[0] in ("fail", "push back")] == ([answer] if answer else [])
+    actions = relay.back(name, ending, host=actions[0][2]) + relay.run(4 * S)
+    assert bool(named(actions, "send")) == again
+    assert [act[0] for act in actions if act[0] in ("fail", "push back")] == ([answer] if answer else [])
 
 
-@pytest.mark.parametrize("lane, legs, done", [
+@pytest.mark.parametrize("lane, attempts, done", [
     ("once", [], "send"), ("once", [(1, None)], "fail"), ("once", [(1, "full"), (1, "unreachable")], "send"),
     ("once", [(1, "full"), (1, "reset")], "fail"), ("keyed", [(1, None)], "send"),
     ("keyed", [(5, None)], "fail"), ("keyed", [(5, "unsent"), (1, None)], "send"),
     ("zoned", [(1, None)], None), ("retriable", [(9, None)], "send"),
     ("retriable", [(1, "error")] * 8, "push back"),
 ])
-def test_a_message_of_an_earlier_life_goes_on_as_its_legs_allow(lane, legs, done):
+def test_a_message_of_an_earlier_life_goes_on_as_its_legs_allow(lane, attempts, done):
     relay = Relay()
-    legs = [("long gone", relay.now - ago * S, ending) for ago, ending in legs]
-    acts = relay.tell("take", "old", "d", lane, relay.now + 6 * S, None, None, False, legs)
-    assert [act[0] for act in acts] == ([done] if done else [])
-    ends = [act[0] for act in acts + relay.run(7 * S) if act[0] in ("fail", "push back")]
+    attempts = [("long gone", relay.now - ago * S, ending) for ago, ending in attempts]
+    actions = relay.tell("take", "old", "d", lane, relay.now + 6 * S, None, None, False, attempts)
+    assert [act[0] for act in actions] == ([done] if done else [])
+    ends = [act[0] for act in actions + relay.run(7 * S) if act[0] in ("fail", "push back")]
     assert len(ends) == 1
 
 
 def test_a_key_rests_after_a_restart_and_its_messages_keep_their_order():
     relay = Relay()
-    for name, legs in (("m1", [("a", relay.now, None)]), ("m2", [])):
-        assert not relay.tell("take", name, "d", "ordered", relay.now + 9 * S, "k", None, False, legs)
+    for name, attempts in (("m1", [("a", relay.now, None)]), ("m2", [])):
+        assert not relay.tell("take", name, "d", "ordered", relay.now + 9 * S, "k", None, False, attempts)
     assert not relay.run(S - 10 * MS)
     assert [act[1] for act in named(relay.run(20 * MS), "send")] == ["m1"]
     relay.back("m1", "delivered", n=1)
@@ -160,12 +160,12 @@
     relay.back("m1", "full", wait=3 * S)
     relay.back("m2", "error", n=1)
     given = [act[1] for act in named(relay.tell("stop"), "push back")]
-    acts = relay.run(LEAVE)
-    given += [act[1] for act in named(acts, "push back")]
-    assert sorted(given) == ["m1", "m4"] and not named(acts, "send") and acts[-1] == ("exit",)
-    assert not named(acts, "fail")      # m2's legs may have run and m3 is out: they stay in the log
-    late, acts = relay.take()
-    assert [act[:2] for act in acts] == [("push back", late)]
+    actions = relay.run(EXIT_AFTER)
+    given += [act[1] for act in named(actions, "push back")]
+    assert sorted(given) == ["m1", "m4"] and not named(actions, "send") and actions[-1] == ("exit",)
+    assert not named(actions, "fail")      # m2's attempts may have run and m3 is out: they stay in the log
+    late, actions = relay.take()
+    assert [act[:2] for act in actions] == [("push back", late)]
 
 
 @pytest.mark.parametrize("what, told, may", [
@@ -202,18 +202,18 @@
     relay = Relay()
     name, _ = relay.take("keyed")
     relay.back(name, "timeout")
-    relay.relay.hosts["a"].rest = relay.now + 6 * S    # nothing can be sent until the window is over
-    acts = relay.run(8 * S)
-    assert [act[0] for act in acts if act[0] != "send"] == ["fail"] or not named(acts, "send")
+    relay.relay.hosts["a"].not_before = relay.now + 6 * S    # nothing can be sent until the window is over
+    actions = relay.run(8 * S)
+    assert [act[0] for act in actions if act[0] != "send"] == ["fail"] or not named(actions, "send")
 
 
 def test_keyed_by_zone_stays_in_its_zone():
     relay = Relay(hosts=[("a", 9.0)])
     relay.tell("roster", "changes", [("b", "ready", "other", 9.0, "plain", "d")])
-    name, acts = relay.take("zoned")
-    first = acts[0][2]
-    acts = relay.back(name, "error", host=first) + relay.run(3 * S)
-    assert {act[2] for act in named(acts, "send")} <= {first}
+    name, actions = relay.take("zoned")
+    first = actions[0][2]
+    actions = relay.back(name, "error", host=first) + relay.run(3 * S)
+    assert {act[2] for act in named(actions, "send")} <= {first}
 
 
 @pytest.mark.parametrize("lane", ["retriable", "keyed", "once", "unknown"])
@@ -224,10 +224,10 @@
     deadline, out, ended = relay.now + 6 * S, [(0, "a")], []
     for _ in range(800):
         relay.now += 10 * MS
-        acts = relay.tell("wake")
+        actions = relay.tell("wake")
         if ending and out:
-            acts += relay.back(name, ending, *out.pop(0))
-        for act in acts:
+            actions += relay.back(name, ending, *out.pop(0))
+        for act in actions:
             assert not (ended and act[0] == "send")
             if act[0] == "send":
                 out.append((len(relay.sends()) - 1, act[2]))
@@ -240,7 +240,7 @@
 def test_drained_hosts_get_nothing_new_and_booked_messages_move(state):
     relay = Relay(hosts=[("a", 2.0), ("b", 2.0)], kind="apart")
     for host in "ab":
-        relay.relay.refusal(relay.now, relay.relay.hosts[host].route, 500 * MS)
+        relay.relay.handle_refusal(relay.now, relay.relay.hosts[host].route, 500 * MS)
     for _ in range(6):
         relay.take()
     relay.tell("roster", "changes", [("a", state, "z", 2.0, "apart", "d")])
@@ -252,8 +252,8 @@
 def test_a_list_that_lost_a_host_strands_messages_until_one_comes():
     relay = Relay()
     relay.tell("roster", "full", [])
-    _, acts = relay.take()
-    assert not acts
+    _, actions = relay.take()
+    assert not actions
     assert named(relay.tell("roster", "changes", [("c", "ready", "z", 4.0, "plain", "d")]), "send")
 
 
@@ -262,33 +262,33 @@
     for name in [relay.take()[0] for _ in range(3)]:
         relay.back(name, "unreachable")
     host = relay.relay.hosts["a"]
-    assert host.evidence >= BOUND and host.rest > relay.now and host.trial
+    assert host.evidence >= EVIDENCE_BOUND and host.not_before > relay.now and host.on_trial
     for _ in range(20):
         relay.take()
     sent = len(relay.sends())
-    relay.run(host.rest - relay.now - 10 * MS)
+    relay.run(host.not_before - relay.now - 10 * MS)
     assert len(relay.sends()) == sent
     relay.run(500 * MS)
     trials = relay.sends()[sent:]
     assert len(trials) == 1
-    host.out = 5 * S        # as after an outage of some length
+    host.outage_length = 5 * S        # as after an outage of some length
     n = sum(act[2] == trials[0][2] for act in relay.sends()) - 1
-    acts, sent = relay.back(trials[0][2], "delivered", n=n), len(relay.sends()) - 1
+    actions, sent = relay.back(trials[0][2], "delivered", n=n), len(relay.sends()) - 1
     for _ in range(60):
-        for act in named(acts, "send"):
+        for act in named(actions, "send"):
             relay.back(act[1], "delivered", n=sum(a[2] == act[1] for a in relay.sends()) - 1)
-        acts = relay.run(50 * MS)
+        actions = relay.run(50 * MS)
     assert 1 <= len(relay.sends()) - sent <= 4 * 3 * 2 * 0.5    # the rule's multiple of a cold share, no more
 
 
 @pytest.mark.parametrize("relays, rate, most", [(3, 4.0, 14), (60, 25.0, 7), (300, 4.0, 3), (300, 110.0, 7)])
 def test_tries_of_a_host_that_is_out_grow_rare_with_relays_and_with_time(relays, rate, most):
     relay = Relay(hosts=[("a", rate)], relays=relays)
-    acts = [act for _ in range(4) for act in relay.take(left=60 * S)[1]]
+    actions = [act for _ in range(4) for act in relay.take(left=60 * S)[1]]
     for _ in range(400):
-        for act in named(acts, "send"):
+        for act in named(actions, "send"):
             relay.back(act[1], "unreachable", n=sum(a[2] == act[1] for a in relay.sends()) - 1)
-        acts = relay.run(50 * MS, 25 * MS)
+        actions = relay.run(50 * MS, 25 * MS)
     assert 1 <= len(relay.sends()) - 4 <= most
 
 
@@ -299,10 +299,10 @@
     relay.now += 100 * MS
     relay.back(name, "unreachable")
     host = relay.relay.hosts["a"]
-    host.out, host.rest = first, relay.now
-    acts = relay.run(2 * S)
+    host.outage_length, host.not_before = first, relay.now
+    actions = relay.run(2 * S)
     relay.back(name, "delivered", n=1)
-    assert named(acts, "send") and not host.trial and (host.climb is not None) == climbs
+    assert named(actions, "send") and not host.on_trial and (host.ramp_since is not None) == climbs
 
 
 @pytest.mark.parametrize("delivered, reported, step, aside", [
@@ -311,22 +311,22 @@
 def test_who_refuses_all_is_set_aside_and_who_refuses_some_is_not(delivered, reported, step, aside):
     relay = Relay()
     d, host = relay.relay, relay.relay.hosts["a"]
-    host.route.reported = reported
+    host.route.reported_limit = reported
     for _ in range(12):
         relay.now += step * MS
-        leg = Leg(None, 0, host, relay.now, 0, None)
+        attempt = Attempt(None, 0, host, relay.now, 0, None)
         if delivered:
-            d.judge(relay.now, host, "delivered", leg, False)
-        d.judge(relay.now, host, "full", leg, d.refusal(relay.now, host.route, 0))
-    assert host.trial == aside
+            d.record_evidence(relay.now, host, "delivered", attempt, False)
+        d.record_evidence(relay.now, host, "full", attempt, d.handle_refusal(relay.now, host.route, 0))
+    assert host.on_trial == aside
 
 
 @pytest.mark.parametrize("ending, closes", [("unreachable", True), ("timeout", True), ("full", False)])
 def test_connections_are_not_kept_where_calls_get_lost(ending, closes):
-    relay, acts = Relay(slots=20), []
+    relay, actions = Relay(slots=20), []
     for name in [relay.take()[0] for _ in range(4)]:
-        acts += relay.back(name, ending, over=True)
-    assert bool(named(acts, "close")) == closes
+        actions += relay.back(name, ending, over=True)
+    assert bool(named(actions, "close")) == closes
 
 
 def test_a_hanging_destination_keeps_slots_for_the_others():
@@ -334,7 +334,7 @@
     relay.tell("roster", "changes", [("o", "ready", "z", 4.0, "plain", "other")])
     for _ in range(20):
         relay.take()
-    assert relay.relay.busy <= 4
+    assert relay.relay.active_calls <= 4
     assert named(relay.take(dst="other")[1], "send")
 
 
@@ -349,9 +349,9 @@
 def test_order_by_key(ending, rest):
     relay = Relay()
     first, _ = relay.take("ordered", "k")
-    second, acts = relay.take("ordered", "k")
+    second, actions = relay.take("ordered", "k")
     other, more = relay.take("ordered", "j")
-    assert not acts and named(more, "send")
+    assert not actions and named(more, "send")
     relay.back(other, "delivered")
     relay.back(first, ending, over=True)
     start = relay.now
@@ -367,13 +367,13 @@
     relay.run(2 * S)
     times = [act[0] for act in relay.sends()]
     per_batch = [times.count(at) for at in sorted(set(times))]
-    assert max(per_batch) == 5 and relay.relay.busy <= len(per_batch)
+    assert max(per_batch) == 5 and relay.relay.active_calls <= len(per_batch)
 
 
 def test_one_destination_cannot_take_the_whole_room():
     relay = refused_relay(room=10, hosts=[("a", 1.0)])
-    acts = [act for _ in range(15) for act in relay.take()[1]]
-    assert len(named(acts, "push back")) == 15 - 4
+    actions = [act for _ in range(15) for act in relay.take()[1]]
+    assert len(named(actions, "push back")) == 15 - 4
     relay.tell("roster", "changes", [("o", "ready", "z", 4.0, "plain", "other")])
     assert named(relay.take(dst="other")[1], "send")
 
@@ -401,18 +401,18 @@
     relay.tell("withdraw", "never")
     assert not named(relay.back(name, "timeout"), "send")
     assert not relay.back("never", "delivered")
-    assert not relay.relay.open and not relay.relay.busy
+    assert not relay.relay.open_messages and not relay.relay.active_calls
 
 
 @pytest.mark.parametrize("took", [100 * MS, 900 * MS, 9 * S])
 def test_no_time_out_outgrows_its_bound(took):
     relay = Relay()
     for _ in range(30):
-        name, acts = relay.take()
+        name, actions = relay.take()
         relay.back(name, "delivered", took=took)
-    _, acts = relay.take()
-    assert 1500 * MS <= named(acts, "send")[0][3] - relay.now <= 3 * S
-    relay.relay.lost["plain"] = 0.2     # where calls get lost it is halved
+    _, actions = relay.take()
+    assert 1500 * MS <= named(actions, "send")[0][3] - relay.now <= 3 * S
+    relay.relay.lost_share["plain"] = 0.2     # where calls get lost it is halved
     assert 750 * MS <= named(relay.take()[1], "send")[0][3] - relay.now <= 1500 * MS
 
 
@@ -420,16 +420,16 @@
     relay = refused_relay(hosts=[("a", 6.0)], relays=12)
     for _ in range(20):
         relay.now += S
-        relay.relay.refusal(relay.now, relay.relay.hosts["a"].route, 0)
-    assert relay.relay.budget(relay.now, relay.relay.hosts["a"].route) == pytest.approx(1 / 12)
+        relay.relay.handle_refusal(relay.now, relay.relay.hosts["a"].route, 0)
+    assert relay.relay.send_budget(relay.now, relay.relay.hosts["a"].route) == pytest.approx(1 / 12)
 
 
 def test_beyond_its_share_a_customers_messages_do_not_wait_long():
     relay = refused_relay(hosts=[("a", 2.0)], customers={"c": 2.0, "d": 2.0})
-    acts = []
+    actions = []
     for n in range(14):
-        acts += relay.tell("take", f"c{n}", "d", "retriable", relay.now + 16 * S, None, "c", False)
-    assert {act[1] for act in named(acts, "push back")} == {"c12", "c13"}
+        actions += relay.tell("take", f"c{n}", "d", "retriable", relay.now + 16 * S, None, "c", False)
+    assert {act[1] for act in named(actions, "push back")} == {"c12", "c13"}
     assert not relay.tell("take", "d0", "d", "retriable", relay.now + 16 * S, None, "d", False)
 
 
@@ -441,7 +441,7 @@
     relay.tell("roster", "full", entries)
     for host, took in (("c", 200 * MS), ("e", 400 * MS)):
         relay.back(relay.take(dst=host)[0], "delivered", host=host, took=took)
-    relay.relay.measured["d"] = relay.relay.dsts["d"]
+    relay.relay.to_rank["d"] = relay.relay.destinations["d"]
     relay.run(1100 * MS)
     assert named(relay.take()[1], "send")[0][2] == first
 
@@ -484,13 +484,13 @@
         now = [(f"h{j}", "ready", "z", None, kind, "d" if j % 3 else f"d{j}") for j in (i - 1, i)]
         relay.tell("roster", scope, now if scope == "full" else old + now)
         for n, ending in enumerate(("delivered", "full", "reset", "delivered")):
-            message, acts = relay.take("ordered", key=f"k{i}-{n}", dst=dst)
-            for act in named(acts, "send"):
+            message, actions = relay.take("ordered", key=f"k{i}-{n}", dst=dst)
+            for act in named(actions, "send"):
                 relay.back(message, ending, host=act[2])
         relay.take(dst=f"nowhere{i}")
         relay.run(S, 100 * MS)
-        for (message, n), leg in list(relay.relay.legs.items()):
-            relay.back(message, "delivered", n=n, host=leg.host.name)
+        for (message, n), attempt in list(relay.relay.attempts.items()):
+            relay.back(message, "delivered", n=n, host=attempt.host.name)
         if i % 80 == 79:
             relay.run(20 * S, 100 * MS)
             sizes.append(held(list(vars(relay.relay).values())))
@@ -499,10 +499,10 @@
 
 def test_an_ordered_message_that_is_not_admitted_takes_no_turn_from_its_key():
     relay = Relay()
-    assert named(relay.take("ordered", key="k", left=1)[1], "push back") and not relay.relay.turns
-    name, acts = relay.take("ordered", key="k")
-    assert named(acts, "send") and named(relay.take("ordered", key="k", left=1)[1], "push back")
-    assert list(relay.relay.turns["k"].line) == [relay.relay.open[name]]
+    assert named(relay.take("ordered", key="k", left=1)[1], "push back") and not relay.relay.key_queues
+    name, actions = relay.take("ordered", key="k")
+    assert named(actions, "send") and named(relay.take("ordered", key="k", left=1)[1], "push back")
+    assert list(relay.relay.key_queues["k"].queue) == [relay.relay.open_messages[name]]
 
 
 @pytest.mark.parametrize("ending, wait, calls", [("full", 0, (1, 5)), ("full", 2 * S, (0, 0)),
@@ -533,7 +533,7 @@
     names = [relay.take()[0] for _ in range(many)]
     for name in names:
         relay.back(name, ending)
-    assert relay.relay.hosts["a"].trial == aside
+    assert relay.relay.hosts["a"].on_trial == aside
 
 
 def test_connections_are_used_no_longer_than_they_last_and_are_trusted_again():
@@ -561,10 +561,10 @@
     relay = refused_relay(room=200)
     for _ in range(60):
         relay.take()
-    before = len(relay.relay.agenda)
+    before = len(relay.relay.events)
     for _ in range(200):
         relay.relay.rebook(relay.now, relay.relay.hosts["a"].route, True)
-    assert len(relay.relay.agenda) <= before + 200
+    assert len(relay.relay.events) <= before + 200
 
 
 def test_a_destination_without_told_limits_returns_at_a_part_of_the_pace_it_had():
@@ -576,8 +576,8 @@
         relay.run(250 * MS)
     tries, end = 0, relay.now + 8 * S
     while relay.now < end:
-        name, acts = relay.take()
-        for act in [*named(acts, "send"), *named(relay.run(500 * MS, 50 * MS), "send")]:
+        name, actions = relay.take()
+        for act in [*named(actions, "send"), *named(relay.run(500 * MS, 50 * MS), "send")]:
             relay.back(act[1], "unreachable")
             tries += 1
     assert tries >= 4
@@ -585,7 +585,7 @@
     for _ in range(80):
         relay.take()
         for act in named(relay.run(100 * MS, 20 * MS), "send"):
-            n = max(n for name, n in relay.relay.legs if name == act[1])
+            n = max(n for name, n in relay.relay.attempts if name == act[1])
             relay.back(act[1], "delivered", n)
             sent, returned = sent + returned, True
     assert 5 <= sent <= 8 * 4 * 2       # never more than the rule's multiple of what it took
@@ -601,13 +601,13 @@
         relay.take()
     while relay.now < begun + 7 * S:        # silent for 4 s, each call's time-out 1.5 s after it left
         relay.run(20 * MS)
-        for (name, n), leg in list(relay.relay.legs.items()):
-            if relay.now >= leg.at + 1500 * MS and leg.at < begun + 4 * S:
+        for (name, n), attempt in list(relay.relay.attempts.items()):
+            if relay.now >= attempt.started_at + 1500 * MS and attempt.started_at < begun + 4 * S:
                 relay.back(name, "timeout", n)
-            elif leg.at >= begun + 4 * S:
+            elif attempt.started_at >= begun + 4 * S:
                 relay.back(name, "delivered", n)
     host, = relay.relay.hosts.values()
-    assert not host.trial and host.out > 3 * S and host.climb is not None
+    assert not host.on_trial and host.outage_length > 3 * S and host.ramp_since is not None
 
 
 @pytest.mark.parametrize("age, headroom, bound, aside", [
@@ -619,8 +619,8 @@
     told = [["a", [0.0, None, 5 * S, relay.now, relay.now + S, True, relay.now],
              [0.5, 3.0, None, relay.now, relay.now, relay.now, False, wait, 2.0]]]
     relay.tell("recall", told, relay.now - age)
-    assert route.headroom == pytest.approx(headroom) and route.wait == wait
-    assert (route.refused is not None, relay.relay.hosts["a"].trial) == (bound, aside)
+    assert route.headroom == pytest.approx(headroom) and route.wait_until == wait
+    assert (route.refused_at is not None, relay.relay.hosts["a"].on_trial) == (bound, aside)
 
 
 # Guards against a message taken on with so little time left that its final answer can't come in time.
