--- a/courseroute/command/show.py
+++ b/courseroute/command/show.py
@@ -108,10 +108,10 @@
 def running(town, name, seconds):
     rows = {place.number: [place.name, 0, 0, 0, 0] for place in town.places}
     for msg in town.judge.messages.values():
-        row = rows[msg.dst]
+        row = rows[msg.destination]
         row[1] += 1
-        row[2] += msg.delivered is not None
-        row[3] += msg.taken is not None and msg.over_at is None
+        row[2] += msg.delivered_at is not None
+        row[3] += msg.accepted_at is not None and msg.closed_at is None
         row[4] += sum(call.status in (429, 503) for call in msg.calls)
     late = ", town late" if town.judge.void else ""
     return table(
--- a/courseroute/town/judge.py
+++ b/courseroute/town/judge.py
@@ -1,24 +1,25 @@
-"""The judge of a day: what broke a rule, from what passed on the wire alone. No socket, no clock.
+"""Checks a day's ledger against the rules, using only what was seen on the wire. No socket, no clock.
 
-It is fed the ledger's rows in order of time (`at`, nanoseconds) and knows nothing of what a relay thinks:
+The rows are fed in order of their time (`at`, nanoseconds); a relay's internal state is not consulted:
 
-    hand      id n relay lane mark key dst until    a client wrote a message's last byte
-    answer    id relay status after                 and read the relay's answer
-    dropped   id relay why                          or gave the id up: what is sent under it counts no more
-    call      c id relay host name dst mark began same      a call's last byte came, its first at `began`
-    ran       c id mark                             the message took effect
+    hand      id n relay lane mark key dst until    a client wrote the last byte of a message
+    answer    id relay status after                 the client read the relay's answer
+    dropped   id relay why                          the client abandoned the id; its calls are not checked
+    call      c id relay host name dst mark began same      a host read a call; its first byte at `began`
+    ran       c id mark                             the host executed the call
     reply     c status wait relay dst host          the host wrote its answer
-    broke     c by                                  the connection ended with no answer; by relay or host
-    notice    id state after                        the platform took it
-    changed   host status                           the directory's truth
-    told      relay host status                     the directory wrote it to a relay
-    asked     relay                                 a relay asked the directory
+    broke     c by                                  the connection ended without an answer; by relay or host
+    notice    id state after                        the platform accepted a final status
+    changed   host status                           the directory changed a host's status
+    told      relay host status                     the directory sent that status to a relay
+    asked     relay                                 a relay requested the endpoint list
     relay     relay now                             started ready term kill exited paused goes-on wiped
     platform  now                                   notices-down notices-up directory-down directory-up
-    fell      dst load known                        a destination that had returned fell over again
-    late      by                                    the town itself was late
+    fell      dst load known                        a recovering destination was overloaded again
+    late      by                                    the emulator itself was late by so many nanoseconds
 
-`broken` holds what was found, in order. A rule's time limits are 50 ms longer, for the way.
+`broken` holds the violations in the order in which they were found. Every time limit is 50 ms longer than the
+rule's own, to allow for the network.
 """
 
 import heapq
@@ -30,13 +31,15 @@
 
 MS = 1_000_000
 S = 1000 * MS
-WAY = 50 * MS
-END_WITHIN, AFTER_READY = 300 * MS, 1500 * MS
-SOON = 100 * MS  # calls so soon after a told wait were on their way
-NOTICE_WITHIN = 1000 * MS  # an end is on its way to the platform for so long
-DELIVERED_READ = 100 * MS  # a delivery's answer may wait so long to be read
-TOLD_WITHIN = 6 * S  # of a change, while the directory could be reached: then it counts as told
-NEVER_RAN = (429, 503, 504, 410)
+NETWORK_ALLOWANCE = 50 * MS  # added to every time limit
+# Time for a final answer after the deadline or a relay's pause, and after a restarted relay is ready.
+FINAL_ANSWER_WITHIN, FINAL_ANSWER_AFTER_RESTART = 300 * MS, 1500 * MS
+WAIT_NOT_YET_KNOWN = 100 * MS  # a call this soon after a wait was requested was already in flight
+NOTICE_DELIVERY_WITHIN = 1000 * MS  # time for a final status to reach the platform
+ANSWER_READ_WITHIN = 100 * MS  # a relay may take this long to read the answer of a successful delivery
+# Relays must know a change of the endpoint list by then; the time counts while the directory is reachable.
+LIST_CHANGE_KNOWN_WITHIN = 6 * S
+NOT_EXECUTED = (429, 503, 504, 410)  # statuses that guarantee that the message was not executed
 RULES = (
     "one final answer",
     "no effect twice",
@@ -46,332 +49,395 @@
     "waits heeded",
     "unchanged",
 )
-LATE = 250 * MS  # a town later than that says nothing of the relays
+MAX_EMULATOR_DELAY = 250 * MS  # if the emulator ran later than this, the day's verdict is void
 
 
-class Broken(NamedTuple):
+class Violation(NamedTuple):
+    """One broken rule, found at `at` nanoseconds."""
+
     rule: str
     at: int
     text: str
 
 
 class Call:
-    __slots__ = ("c", "id", "relay", "host", "began", "at", "status", "ended")
+    """One attempt to deliver a message, as its host received it."""
+
+    __slots__ = ("c", "id", "relay", "host", "first_byte_at", "received_at", "status", "ended_at")
 
     def __init__(self, row):
         self.c, self.id, self.relay, self.host = row["c"], row["id"], row["relay"], row["name"]
-        self.began, self.at, self.status, self.ended = row["began"], row["at"], None, None
+        self.first_byte_at, self.received_at, self.status, self.ended_at = row["began"], row["at"], None, None
 
     @property
     def may_have_run(self):
-        return self.status not in NEVER_RAN
+        """Whether the host may have executed the message, judging by its status (None: no answer)."""
+        return self.status not in NOT_EXECUTED
 
 
-class Outage:
-    """A time in which a relay was down for a restart, or stood still; `back` is None until it is over."""
+class Downtime:
+    """A period in which a relay was restarting or paused; `end` is None while it lasts."""
 
-    __slots__ = ("begin", "back", "is_restart")
+    __slots__ = ("begin", "end", "is_restart")
 
     def __init__(self, begin):
-        self.begin, self.back, self.is_restart = begin, None, False
+        self.begin, self.end, self.is_restart = begin, None, False
 
     @property
     def allowed(self):
-        """How long behind it an end may come that was due meanwhile."""
-        return AFTER_READY if self.is_restart else END_WITHIN
+        """Time after the downtime in which final answers that fell due during it may still arrive."""
+        return FINAL_ANSWER_AFTER_RESTART if self.is_restart else FINAL_ANSWER_WITHIN
 
 
 class Message:
-    """One id: handed in once, to one relay."""
+    """One message id, submitted to one relay. Its times are nanoseconds, None until the event occurs."""
 
     __slots__ = (
         "id",
         "n",
         "relay",
         "lane",
-        "mark",
-        "key",
-        "dst",
-        "until",
-        "at",
-        "taken",
-        "refused",
-        "dropped",
-        "delivered",
-        "ends",
+        "idempotency_key",
+        "ordering_key",
+        "destination",
+        "deadline",
+        "submitted_at",
+        "accepted_at",
+        "rejected_at",
+        "abandoned",
+        "delivered_at",
+        "final_answers",
         "calls",
-        "effects",
-        "excused",
+        "executions",
+        "lost_with_relay",
     )
 
     def __init__(self, row):
         self.id, self.n, self.relay, self.lane = row["id"], row["n"], row["relay"], row["lane"]
-        self.mark, self.key, self.dst, self.until, self.at = (
+        self.idempotency_key, self.ordering_key, self.destination, self.deadline, self.submitted_at = (
             row["mark"],
             row["key"],
             row["dst"],
             row["until"],
             row["at"],
         )
-        self.taken = self.refused = self.delivered = None  # times
-        self.dropped = self.excused = False
-        self.ends, self.calls, self.effects = [], [], 0  # ends: (state, at) by notices
+        self.accepted_at = self.rejected_at = self.delivered_at = None
+        self.abandoned = self.lost_with_relay = False
+        self.final_answers, self.calls, self.executions = [], [], 0  # final_answers: (state, time) of notices
 
     @property
-    def over_at(self):
-        times = [at for at in (self.delivered, self.refused, *(at for _, at in self.ends)) if at is not None]
+    def closed_at(self):
+        """When the message was first delivered, rejected or reported as ended; None while it is open."""
+        times = [
+            at
+            for at in (self.delivered_at, self.rejected_at, *(at for _, at in self.final_answers))
+            if at is not None
+        ]
         return min(times, default=None)
 
 
 class Judge:
+    """Checks one day's ledger while it is written: `feed` it each row in order, then `finish`."""
+
     def __init__(self, day):
         self.day, self.broken = day, []
         self.lanes = day.lanes
-        self.grace, self.ask_within, self.gap = (
+        self.drain_grace, self.ask_within, self.turn_gap = (
             span(day.rules.drain_grace),
             span(day.rules.ask_within),
             span(day.rules.turn_gap) or 0,
         )
-        self.windows = {name: span(lane.window) for name, lane in day.lanes.items()}
-        self.messages, self.calls, self.due = {}, {}, []
-        self.told, self.changed, self.asked = {}, {}, {}
-        self.waits = {}  # (relay, route) -> (from, until)
-        self.apart = {name for name, form in day.kinds.items() if form.apart}
-        self.apart_dst = set()  # numbers of destinations whose hosts are routes of their own
-        self.down, self.notices_down, self.notices_up = {}, None, 0
+        self.key_windows = {name: span(lane.window) for name, lane in day.lanes.items()}
+        self.messages, self.calls, self.pending_checks = {}, {}, []
+        self.announced, self.unavailable_since, self.last_list_request = {}, {}, {}
+        self.retry_waits = {}  # (relay, destination number or host name) -> (from, until)
+        self.per_host_kinds = {name for name, form in day.kinds.items() if form.apart}
+        self.per_host_destinations = set()  # numbers of destinations whose waits hold for each host by itself
+        self.down, self.notices_down_since, self.notices_up_at = {}, None, 0
         self.directory_outages = []  # [from, until or None]
-        self.outs = {}  # relay -> its Outages
-        self.turns = {}  # (relay, key) -> messages in the order taken
-        self.rested = {}  # (relay, key) -> (whose leg ended unknown, end of the rest)
-        self.areas = {host.name: host.area for place in destinations(day) for host in place.hosts}
-        self.late, self.now, self.ticket, self.counts = 0, 0, 0, Counter()
+        self.downtimes = {}  # relay -> its Downtimes
+        self.ordered_messages = {}  # (relay, ordering key) -> messages in the order they were accepted
+        self.key_pauses = {}  # (relay, ordering key) -> (message whose attempt broke off, end of the pause)
+        self.host_areas = {
+            host.name: host.area for destination in destinations(day) for host in destination.hosts
+        }
+        self.max_delay, self.now, self.sequence, self.counts = 0, 0, 0, Counter()
 
     def feed(self, row):
+        """Checks the next row of the ledger; rows of unknown kinds are ignored."""
         self.now = max(self.now, row["at"])
-        self.run_due(row["at"])
+        self.run_due_checks(row["at"])
         getattr(self, "on_" + row["what"], self.ignore)(row)
 
     def ignore(self, row):
         pass
 
-    def found(self, rule, at, text):
-        self.broken.append(Broken(rule, at, text))
+    def report_violation(self, rule, at, text):
+        self.broken.append(Violation(rule, at, text))
 
     def finish(self):
-        """No more rows come: what is seen is judged as it stands, an end not due yet is not missed."""
-        self.run_due(self.now)
-        for at, _, check, told in sorted(self.due):
-            if check != self.check_ended:
-                check(at, *told)
-        self.due.clear()
+        """Runs the pending checks after the last row; final answers that are not due yet are not missed."""
+        self.run_due_checks(self.now)
+        for at, _, check, args in sorted(self.pending_checks):
+            if check != self.check_final_answer:
+                check(at, *args)
+        self.pending_checks.clear()
 
     def open(self):
-        """How many messages are taken on and have no end."""
+        """The number of messages that a relay accepted and that have no final answer yet."""
         return sum(
-            msg.taken is not None and msg.over_at is None and not (msg.excused or msg.dropped)
+            msg.accepted_at is not None
+            and msg.closed_at is None
+            and not (msg.lost_with_relay or msg.abandoned)
             for msg in self.messages.values()
         )
 
     @property
     def void(self):
-        return self.late > LATE
+        """Whether the emulator was too late for the day to say anything about the relays."""
+        return self.max_delay > MAX_EMULATOR_DELAY
 
-    # Clients.
+    # Rows of the clients.
 
     def on_hand(self, row):
-        if row["id"] not in self.messages:  # once more on a new connection: the same message
+        if row["id"] not in self.messages:  # else it was written again on a new connection
             self.messages[row["id"]] = Message(row)
         self.counts["handed in"] += 1
 
     def on_answer(self, row):
         msg = self.messages[row["id"]]
         if row["status"] in (200, 202):
-            msg.taken = row["at"]
+            msg.accepted_at = row["at"]
             self.counts["taken on"] += 1
-            self.later(msg.until + END_WITHIN + WAY, self.check_ended, msg)
-            if self.lanes[msg.lane].ordered and msg.key:
-                self.turns.setdefault((msg.relay, msg.key), []).append(msg)
+            self.schedule_check(
+                msg.deadline + FINAL_ANSWER_WITHIN + NETWORK_ALLOWANCE, self.check_final_answer, msg
+            )
+            if self.lanes[msg.lane].ordered and msg.ordering_key:
+                self.ordered_messages.setdefault((msg.relay, msg.ordering_key), []).append(msg)
         else:
-            msg.refused = row["at"]
+            msg.rejected_at = row["at"]
             if row["status"] in (429, 503):
-                self.pushed_back(msg, row["at"])
+                self.check_rejection(msg, row["at"])
             self.counts["pushed back" if row["status"] in (429, 503) else "turned down"] += 1
 
     def on_dropped(self, row):
-        if row["id"] in self.messages:  # else its connection never came up
-            self.messages[row["id"]].dropped = True
+        if row["id"] in self.messages:  # else its connection was never established
+            self.messages[row["id"]].abandoned = True
         self.counts["given up: " + row["why"]] += 1
 
     def on_notice(self, row):
         msg = self.messages.get(row["id"])
         if msg is None:
-            return self.found("one final answer", row["at"], f"a notice for {row['id']}: nobody handed it in")
-        other = next((state for state, _ in msg.ends if state != row["state"]), None)
-        if other and msg.delivered is None:
-            self.found("one final answer", row["at"], f"{msg.id} ended {other}, then {row['state']}")
-        if msg.delivered is None and not msg.ends:
+            return self.report_violation(
+                "one final answer", row["at"], f"notice for {row['id']}, which no client submitted"
+            )
+        other = next((state for state, _ in msg.final_answers if state != row["state"]), None)
+        if other and msg.delivered_at is None:
+            self.report_violation(
+                "one final answer", row["at"], f"{msg.id} was reported {other}, then {row['state']}"
+            )
+        if msg.delivered_at is None and not msg.final_answers:
             self.counts[row["state"]] += 1
             if row["state"] == "returned":
-                self.pushed_back(msg, row["at"])
-        msg.ends.append((row["state"], row["at"]))
+                self.check_rejection(msg, row["at"])
+        msg.final_answers.append((row["state"], row["at"]))
 
-    def pushed_back(self, msg, at):
-        """It says that trying again is harmless."""
-        lane, legs = self.lanes[msg.lane], [call for call in msg.calls if call.may_have_run]
-        if msg.dropped or not legs or lane.effect == "retriable":
+    def check_rejection(self, msg, at):
+        """A pushback says that submitting again is harmless, so no attempt may have been executed."""
+        lane, attempts = self.lanes[msg.lane], [call for call in msg.calls if call.may_have_run]
+        if msg.abandoned or not attempts or lane.effect == "retriable":
             return
         if lane.effect == "non-retriable" or lane.group != "all":
-            self.found("no effect twice", at, f"{msg.id} ({msg.lane}) was pushed back though it may have run")
+            self.report_violation(
+                "no effect twice",
+                at,
+                f"{msg.id} ({msg.lane}) was pushed back although it may have been executed",
+            )
 
-    # Calls.
+    # Rows of the hosts.
 
     def on_call(self, row):
         msg, call = self.messages.get(row["id"]), Call(row)
-        if msg is None or row["dst"] != msg.dst or not row["same"] or row["mark"] != msg.mark:
+        if (
+            msg is None
+            or row["dst"] != msg.destination
+            or not row["same"]
+            or row["mark"] != msg.idempotency_key
+        ):
             what = (
-                "nobody handed it in"
+                "no client submitted it"
                 if msg is None
-                else "it goes elsewhere"
-                if row["dst"] != msg.dst
-                else "it was changed"
+                else "it belongs to another destination"
+                if row["dst"] != msg.destination
+                else "its key or body was changed"
+            )
+            return self.report_violation(
+                "unchanged", row["at"], f"call for {row['id']} to {row['name']}: {what}"
             )
-            return self.found("unchanged", row["at"], f"a call for {row['id']} to {row['name']}: {what}")
         self.calls[call.c] = call, msg
         self.counts["calls"] += 1
         self.check_drain(call)
-        self.check_wait(call, row["dst"])
-        if not msg.dropped:
-            self.check_end(call, msg)
+        self.check_retry_wait(call, row["dst"])
+        if not msg.abandoned:
+            self.check_call_after_end(call, msg)
             self.check_repeat(call, msg)
-            if self.lanes[msg.lane].ordered and msg.key:
-                self.check_turn(call, msg)
+            if self.lanes[msg.lane].ordered and msg.ordering_key:
+                self.check_order(call, msg)
         msg.calls.append(call)
 
     def check_drain(self, call):
-        if self.grace is None or call.host not in self.changed:
+        if self.drain_grace is None or call.host not in self.unavailable_since:
             return
-        changed = self.changed[call.host]
-        told = self.told.get((call.relay, call.host))
-        if self.ask_within is not None:  # silence towards the directory counts as told
-            silent = max(changed, self.asked.get(call.relay, changed) + self.ask_within)
-            told = silent if told is None else min(told, silent)
-        if (latest := self.told_at_the_latest(changed)) is not None:
-            told = latest if told is None else min(told, latest)
-        if told is not None and call.began > told + self.grace + WAY:
-            self.found(
+        changed = self.unavailable_since[call.host]
+        known = self.announced.get((call.relay, call.host))
+        if self.ask_within is not None:  # a relay that stops requesting the list is treated as informed
+            silent = max(changed, self.last_list_request.get(call.relay, changed) + self.ask_within)
+            known = silent if known is None else min(known, silent)
+        if (latest := self.change_known_at(changed)) is not None:
+            known = latest if known is None else min(known, latest)
+        if known is not None and call.first_byte_at > known + self.drain_grace + NETWORK_ALLOWANCE:
+            self.report_violation(
                 "drains kept",
-                call.at,
+                call.received_at,
                 f"{call.relay} sent {call.id} to {call.host} "
-                f"{(call.began - told) // MS} ms after it was told",
+                f"{(call.first_byte_at - known) // MS} ms after it had to know that the host is unavailable",
             )
 
-    def told_at_the_latest(self, changed):
-        """When a change counts as told to all; None while the directory is down, before it does."""
+    def change_known_at(self, changed):
+        """When all relays must know of a change; None while a directory outage keeps that time open."""
         since = changed
         for begin, end in self.directory_outages:
-            if since + TOLD_WITHIN <= begin:
+            if since + LIST_CHANGE_KNOWN_WITHIN <= begin:
                 break
             if end is None:
                 return None
             since = max(since, end)
-        return since + TOLD_WITHIN
+        return since + LIST_CHANGE_KNOWN_WITHIN
 
-    def check_wait(self, call, dst):
-        begin, until = self.waits.get((call.relay, call.host if dst in self.apart_dst else dst), (0, 0))
-        if begin + SOON + WAY < call.at < until - MS:
-            self.found(
+    def check_retry_wait(self, call, dst):
+        begin, until = self.retry_waits.get(
+            (call.relay, call.host if dst in self.per_host_destinations else dst), (0, 0)
+        )
+        if begin + WAIT_NOT_YET_KNOWN + NETWORK_ALLOWANCE < call.received_at < until - MS:
+            self.report_violation(
                 "waits heeded",
-                call.at,
+                call.received_at,
                 f"{call.relay} sent {call.id} to {call.host} "
-                f"{(until - call.at) // MS} ms before the wait was over",
+                f"{(until - call.received_at) // MS} ms before the requested wait was over",
             )
 
-    def check_end(self, call, msg):
-        over = msg.over_at
-        if over is None or call.began <= over + WAY:
+    def check_call_after_end(self, call, msg):
+        over = msg.closed_at
+        if over is None or call.first_byte_at <= over + NETWORK_ALLOWANCE:
             return
-        if over == msg.delivered and (
-            call.began <= over + DELIVERED_READ or self.was_out(msg.relay, over - DELIVERED_READ, call.began)
+        if over == msg.delivered_at and (
+            call.first_byte_at <= over + ANSWER_READ_WITHIN
+            or self.was_unavailable(msg.relay, over - ANSWER_READ_WITHIN, call.first_byte_at)
         ):
-            return  # the relay ended, or stood still, before it read the delivery
-        self.found(
+            return  # the relay was restarted or paused before it read the answer of the delivery
+        self.report_violation(
             "one final answer",
-            call.at,
-            f"{msg.id} was sent to {call.host} {(call.began - over) // MS} ms after its end",
+            call.received_at,
+            f"{msg.id} was sent to {call.host} {(call.first_byte_at - over) // MS} ms after its final answer",
         )
 
     def check_repeat(self, call, msg):
-        lane, legs = self.lanes[msg.lane], [leg for leg in msg.calls if leg.may_have_run]
-        if not legs or lane.effect == "retriable":
+        lane, attempts = self.lanes[msg.lane], [attempt for attempt in msg.calls if attempt.may_have_run]
+        if not attempts or lane.effect == "retriable":
             return
         if lane.effect == "non-retriable":
-            self.found(
-                "no effect twice", call.at, f"{msg.id} ({msg.lane}) got a further leg though it may have run"
+            self.report_violation(
+                "no effect twice",
+                call.received_at,
+                f"{msg.id} ({msg.lane}) was sent again although it may have been executed",
             )
-        elif lane.group == "zone" and self.area(call) != self.area(legs[0]):
-            self.found(
+        elif lane.group == "zone" and self.area_of(call) != self.area_of(attempts[0]):
+            self.report_violation(
                 "no effect twice",
-                call.at,
-                f"{msg.id} ({msg.lane}) went on to {call.host}, where its " f"key is not known",
+                call.received_at,
+                f"{msg.id} ({msg.lane}) was sent again to {call.host}, which does not know its key",
             )
-        elif call.at > legs[0].at + self.windows[msg.lane] + WAY:
-            self.found(
+        elif call.received_at > attempts[0].received_at + self.key_windows[msg.lane] + NETWORK_ALLOWANCE:
+            self.report_violation(
                 "no effect twice",
-                call.at,
-                f"{msg.id} ({msg.lane}) came again "
-                f"{(call.at - legs[0].at) // MS} ms later, when its key was forgotten",
+                call.received_at,
+                f"{msg.id} ({msg.lane}) was sent again after "
+                f"{(call.received_at - attempts[0].received_at) // MS} ms, when its key had expired",
             )
 
-    def area(self, call):
-        return self.areas.get(call.host.partition("+")[0])
-
-    def check_turn(self, call, msg):
-        """The message that has the turn may be tried again without a rest; what a relay took in an earlier
-        life has no place in line."""
-        turn = msg.relay, msg.key
-        for other in self.turns.get(turn, ()):
-            if other is msg or other.dropped or other.over_at is not None and other.over_at <= call.began:
+    def area_of(self, call):
+        return self.host_areas.get(call.host.partition("+")[0])
+
+    def check_order(self, call, msg):
+        """No message may be sent while one accepted before it with the same ordering key is open, nor within
+        `turn_gap` of a broken-off attempt of another message. Messages accepted before a relay's restart are
+        not ordered."""
+        turn = msg.relay, msg.ordering_key
+        for other in self.ordered_messages.get(turn, ()):
+            if (
+                other is msg
+                or other.abandoned
+                or other.closed_at is not None
+                and other.closed_at <= call.first_byte_at
+            ):
                 continue
-            if any(leg.ended is None and leg.began < call.began for leg in other.calls) and not (
-                self.was_out(msg.relay, other.at, call.began)
+            if any(
+                attempt.ended_at is None and attempt.first_byte_at < call.first_byte_at
+                for attempt in other.calls
+            ) and not (self.was_unavailable(msg.relay, other.submitted_at, call.first_byte_at)):
+                self.report_violation(
+                    "order kept", call.received_at, f"{msg.id} was sent during an attempt of {other.id}"
+                )
+            elif other.accepted_at < msg.submitted_at and not self.was_unavailable(
+                msg.relay, other.submitted_at, call.first_byte_at
             ):
-                self.found("order kept", call.at, f"{msg.id} was sent while a leg of {other.id} was out")
-            elif other.taken < msg.at and not self.was_out(msg.relay, other.at, call.began):
-                self.later(call.at + NOTICE_WITHIN, self.check_over, call, msg, other)
-        first, until = self.rested.get(turn, (None, 0))
-        if first is not msg and call.began + WAY < until:
-            self.found("order kept", call.at, f"{msg.id} was sent before {msg.key} had rested")
-
-    def check_over(self, now, call, msg, other):
-        """An end may be on its way to the platform when the next message of the key is sent."""
-        if other.over_at is None or other.over_at > call.began + NOTICE_WITHIN:
-            if self.notices_down is None and self.notices_up < call.began:
-                self.found(
+                self.schedule_check(
+                    call.received_at + NOTICE_DELIVERY_WITHIN, self.check_predecessor_closed, call, msg, other
+                )
+        first, until = self.key_pauses.get(turn, (None, 0))
+        if first is not msg and call.first_byte_at + NETWORK_ALLOWANCE < until:
+            self.report_violation(
+                "order kept",
+                call.received_at,
+                f"{msg.id} was sent during the pause of key {msg.ordering_key}",
+            )
+
+    def check_predecessor_closed(self, now, call, msg, other):
+        """The final answer of `other` may still be in flight to the platform when the next message of its
+        ordering key is sent, so this is checked later than the call."""
+        if other.closed_at is None or other.closed_at > call.first_byte_at + NOTICE_DELIVERY_WITHIN:
+            if self.notices_down_since is None and self.notices_up_at < call.first_byte_at:
+                self.report_violation(
                     "order kept",
-                    call.at,
-                    f"{msg.id} was sent while {other.id} of {msg.key}, taken before it, was not over",
+                    call.received_at,
+                    f"{msg.id} was sent while {other.id}, accepted before it with key {msg.ordering_key}, "
+                    "was open",
                 )
 
     def on_ran(self, row):
         call, msg = self.calls.get(row["c"], (None, None))
         if msg is None:
             return
-        msg.effects += 1
-        if msg.effects > 1 and self.lanes[msg.lane].effect != "retriable" and not msg.dropped:
-            self.found("no effect twice", row["at"], f"{msg.id} ({msg.lane}) took effect {msg.effects} times")
+        msg.executions += 1
+        if msg.executions > 1 and self.lanes[msg.lane].effect != "retriable" and not msg.abandoned:
+            self.report_violation(
+                "no effect twice", row["at"], f"{msg.id} ({msg.lane}) was executed {msg.executions} times"
+            )
 
     def on_reply(self, row):
         call, msg = self.calls.get(row["c"], (None, None))
         if msg is None:
             return
-        call.status, call.ended = row["status"], row["at"]
-        if row["status"] == 200 and msg.delivered is None:
-            msg.delivered = row["at"]
-            self.counts["delivered"] += not msg.ends
-        if row["status"] in NEVER_RAN:
+        call.status, call.ended_at = row["status"], row["at"]
+        if row["status"] == 200 and msg.delivered_at is None:
+            msg.delivered_at = row["at"]
+            self.counts["delivered"] += not msg.final_answers
+        if row["status"] in NOT_EXECUTED:
             self.counts["refused"] += 1
         if row["wait"]:
-            self.waits[(row["relay"], row["name"] if row["dst"] in self.apart_dst else row["dst"])] = (
+            self.retry_waits[
+                (row["relay"], row["name"] if row["dst"] in self.per_host_destinations else row["dst"])
+            ] = (
                 row["at"],
                 row["at"] + row["wait"],
             )
@@ -380,27 +446,27 @@
         call, msg = self.calls.get(row["c"], (None, None))
         if msg is None:
             return
-        call.ended = row["at"]
-        out = self.was_out(msg.relay, row["at"] - WAY, row["at"])
-        if self.lanes[msg.lane].ordered and msg.key and not out:
-            self.rested[(msg.relay, msg.key)] = msg, row["at"] + self.gap
+        call.ended_at = row["at"]
+        unavailable = self.was_unavailable(msg.relay, row["at"] - NETWORK_ALLOWANCE, row["at"])
+        if self.lanes[msg.lane].ordered and msg.ordering_key and not unavailable:
+            self.key_pauses[(msg.relay, msg.ordering_key)] = msg, row["at"] + self.turn_gap
 
-    # The directory, the platform, the relays, the town.
+    # Rows of the directory, the platform, the relays and the emulator.
 
     def on_changed(self, row):
         if row["status"] != "active":
-            self.changed.setdefault(row["host"], row["at"])
+            self.unavailable_since.setdefault(row["host"], row["at"])
         else:
-            self.changed.pop(row["host"], None)
-            for pair in [pair for pair in self.told if pair[1] == row["host"]]:
-                del self.told[pair]
+            self.unavailable_since.pop(row["host"], None)
+            for pair in [pair for pair in self.announced if pair[1] == row["host"]]:
+                del self.announced[pair]
 
     def on_told(self, row):
         if row["status"] != "active":
-            self.told.setdefault((row["relay"], row["host"]), row["at"])
+            self.announced.setdefault((row["relay"], row["host"]), row["at"])
 
     def on_asked(self, row):
-        self.asked[row["relay"]] = row["at"]
+        self.last_list_request[row["relay"]] = row["at"]
 
     def on_platform(self, row):
         if row["now"] == "directory-down":
@@ -408,88 +474,93 @@
         elif row["now"] == "directory-up":
             self.directory_outages[-1][1] = row["at"]
         elif row["now"] == "notices-down":
-            self.notices_down = row["at"]
+            self.notices_down_since = row["at"]
         elif row["now"] == "notices-up":
-            self.notices_down, self.notices_up = None, row["at"]
+            self.notices_down_since, self.notices_up_at = None, row["at"]
 
     def on_relay(self, row):
         relay, what = row["relay"], row["now"]
-        outs = self.outs.setdefault(relay, [])
-        out = outs[-1] if outs and outs[-1].back is None else None
+        downtimes = self.downtimes.setdefault(relay, [])
+        downtime = downtimes[-1] if downtimes and downtimes[-1].end is None else None
         if what in ("term", "kill"):
-            if out is None:
-                outs.append(out := Outage(row["at"]))
-            out.is_restart = True
-        elif what == "paused" and out is None:
-            outs.append(Outage(row["at"]))
-        elif out and (what == "ready" or what == "goes-on" and not out.is_restart):
-            out.back = row["at"]
+            if downtime is None:
+                downtimes.append(downtime := Downtime(row["at"]))
+            downtime.is_restart = True
+        elif what == "paused" and downtime is None:
+            downtimes.append(Downtime(row["at"]))
+        elif downtime and (what == "ready" or what == "goes-on" and not downtime.is_restart):
+            downtime.end = row["at"]
         if what in ("kill", "ready"):
-            for turn in [turn for turn in self.turns if turn[0] == relay]:
-                del self.turns[turn]
+            for turn in [turn for turn in self.ordered_messages if turn[0] == relay]:
+                del self.ordered_messages[turn]
         if what == "ready":
-            for pair in [pair for pair in self.waits if pair[0] == relay]:
-                del self.waits[pair]
-        if what == "wiped":  # the machine with its folder is gone: what it held is owed no more
+            for pair in [pair for pair in self.retry_waits if pair[0] == relay]:
+                del self.retry_waits[pair]
+        if what == "wiped":  # its folder is lost, so nothing that it held needs a final answer any more
             for msg in self.messages.values():
-                if msg.relay == relay and msg.at <= row["at"]:
-                    msg.excused = True
+                if msg.relay == relay and msg.submitted_at <= row["at"]:
+                    msg.lost_with_relay = True
         if what == "crashed":
-            self.found("one final answer", row["at"], f"{relay} ended by itself: {row['text']}")
+            self.report_violation("one final answer", row["at"], f"{relay} ended unexpectedly: {row['text']}")
 
     def on_fell(self, row):
         self.counts["fell over"] += 1
         if row["load"] and row["known"] * 3 >= row["load"] * 2:
-            self.found(
+            self.report_violation(
                 "cold returns",
                 row["at"],
-                f"{row['dst']} fell over again: {row['known']} of "
+                f"{row['dst']} was overloaded again: {row['known']} of "
                 f"{row['load']} calls came from relays that had seen its outage",
             )
 
     def on_late(self, row):
-        self.late = max(self.late, row["by"])
+        self.max_delay = max(self.max_delay, row["by"])
 
-    def was_out(self, relay, since, until):
-        """Whether the relay was down, or stood still, at some time between."""
+    def was_unavailable(self, relay, since, until):
+        """Whether the relay was restarting or paused at any time between `since` and `until`."""
         return any(
-            out.begin <= until and (out.back is None or out.back >= since) for out in self.outs.get(relay, ())
+            downtime.begin <= until and (downtime.end is None or downtime.end >= since)
+            for downtime in self.downtimes.get(relay, ())
         )
 
-    # What is judged later than it is seen.
+    # Deferred checks.
 
-    def later(self, at, check, *told):
-        self.ticket += 1
-        heapq.heappush(self.due, (at, self.ticket, check, told))
+    def schedule_check(self, at, check, *args):
+        """Calls check(at, *args) once the ledger has reached time `at`."""
+        self.sequence += 1
+        heapq.heappush(self.pending_checks, (at, self.sequence, check, args))
 
-    def run_due(self, now):
-        while self.due and self.due[0][0] <= now:
-            at, _, check, told = heapq.heappop(self.due)
-            check(at, *told)
+    def run_due_checks(self, now):
+        while self.pending_checks and self.pending_checks[0][0] <= now:
+            at, _, check, args = heapq.heappop(self.pending_checks)
+            check(at, *args)
 
-    def check_ended(self, at, msg):
-        if msg.over_at is not None or msg.excused or msg.dropped:
+    def check_final_answer(self, at, msg):
+        if msg.closed_at is not None or msg.lost_with_relay or msg.abandoned:
             return
-        if (later := self.excuse(msg.relay, at)) is None:
-            return  # its relay was still away when the day ended
+        if (later := self.final_answer_due(msg.relay, at)) is None:
+            return  # its relay was still unavailable when the day ended
         if later > at:
-            self.later(later, self.check_ended, msg)
+            self.schedule_check(later, self.check_final_answer, msg)
         else:
-            self.found(
+            self.report_violation(
                 "one final answer",
                 at,
-                f"{msg.id} ({msg.lane}) was taken on by {msg.relay} and got "
-                f"no end within its time; {len(msg.calls)} calls",
+                f"{msg.id} ({msg.lane}) was accepted by {msg.relay} and got "
+                f"no final answer in time; {len(msg.calls)} calls",
             )
 
-    def excuse(self, relay, at):
-        """When an end that is due now is overdue: no sooner than 1.5 s after its relay is back from a
-        restart, 0.3 s where it was only held up."""
-        for out in self.outs.get(relay, ()):
-            if out.begin <= at and out.back is None:
+    def final_answer_due(self, relay, at):
+        """When a final answer that falls due at `at` is overdue: not before 1.5 s after its relay is ready
+        again after a restart, 0.3 s after a pause. None if the relay or the platform is still unavailable."""
+        for downtime in self.downtimes.get(relay, ()):
+            if downtime.begin <= at and downtime.end is None:
                 return None if at >= self.now else at + S // 10
-            if out.back is not None and out.begin <= at < out.back + out.allowed + WAY:
-                at = out.back + out.allowed + WAY
-        if self.notices_down is not None:
+            if (
+                downtime.end is not None
+                and downtime.begin <= at < downtime.end + downtime.allowed + NETWORK_ALLOWANCE
+            ):
+                at = downtime.end + downtime.allowed + NETWORK_ALLOWANCE
+        if self.notices_down_since is not None:
             return None if at >= self.now else at + S // 10
-        return self.notices_up + S if at < self.notices_up + S and self.notices_up else at
+        return self.notices_up_at + S if at < self.notices_up_at + S and self.notices_up_at else at
--- a/courseroute/town/play.py
+++ b/courseroute/town/play.py
@@ -50,7 +50,9 @@
         self.clock, self.judge = time.monotonic_ns, Judge(day)
         self.waiting, self.count, self.rows, self.keep = [], itertools.count(), [], keep
         self.places = destinations(day)
-        self.judge.apart_dst = {place.number for place in self.places if day.kinds[place.form.kind].apart}
+        self.judge.per_host_destinations = {
+            place.number for place in self.places if day.kinds[place.form.kind].apart
+        }
         self.workers, self.queues, self.start, self.cut_off = [], [], 0, False
         self.ending = False  # the workers were told to end
         self.downs = 0  # outages of the directory under way
@@ -220,7 +222,7 @@
         """A notice: its client hears that the message came back."""
         n = name.partition("-")[0]
         msg = self.judge.messages.get(name)
-        if state == "returned" and n.isdigit() and not (msg and msg.delivered):
+        if state == "returned" and n.isdigit() and not (msg and msg.delivered_at):
             self.to_workers({"do": "again", "n": int(n), "after": after, "mark": "1"})
 
     # Faults at relays and platform, and what the directory tells of the hosts.
@@ -256,7 +258,10 @@
             for msg in [
                 msg
                 for msg in self.judge.messages.values()
-                if msg.relay == relay.name and msg.excused and msg.taken and msg.over_at is None
+                if msg.relay == relay.name
+                and msg.lost_with_relay
+                and msg.accepted_at
+                and msg.closed_at is None
             ]:
                 self.to_workers({"do": "again", "n": msg.n, "after": 0, "mark": "again"})
         elif strike.kind == "reload":
--- a/courseroute/town/report.py
+++ b/courseroute/town/report.py
@@ -18,9 +18,9 @@
     found = {}
     for msg in judge.messages.values():
         first, delivered, word = found.get(msg.n, (msg, None, "unanswered"))
-        if msg.delivered is not None:
-            delivered = min(msg.delivered, delivered or msg.delivered)
-        if msg.at < first.at:
+        if msg.delivered_at is not None:
+            delivered = min(msg.delivered_at, delivered or msg.delivered_at)
+        if msg.submitted_at < first.submitted_at:
             first = msg
         word = last_word(msg) if last_word(msg) != "unanswered" else word
         found[msg.n] = first, delivered, "delivered" if delivered else word
@@ -28,11 +28,11 @@
 
 
 def last_word(msg):
-    if msg.ends:
-        return msg.ends[0][0]
-    if msg.refused and not msg.dropped:
+    if msg.final_answers:
+        return msg.final_answers[0][0]
+    if msg.rejected_at and not msg.abandoned:
         return "pushed back"
-    return "open" if msg.taken and not msg.dropped else "unanswered"
+    return "open" if msg.accepted_at and not msg.abandoned else "unanswered"
 
 
 def figures(result):
@@ -41,18 +41,18 @@
     messages, names = by_message(judge), {place.number: place.name for place in destinations(day)}
     calls, refused, waits = Counter(), Counter(), defaultdict(list)
     for msg in judge.messages.values():
-        calls[msg.dst] += len(msg.calls)
-        refused[msg.dst] += sum(call.status in (429, 503) for call in msg.calls)
+        calls[msg.destination] += len(msg.calls)
+        refused[msg.destination] += sum(call.status in (429, 503) for call in msg.calls)
     words, lanes = defaultdict(Counter), defaultdict(Counter)
     value, most = 0.0, 0.0
     for first, delivered, word in messages.values():
-        words[first.dst][word] += 1
+        words[first.destination][word] += 1
         lanes[first.lane][word] += 1
         lane = day.lanes[first.lane]
         most += lane.value or 1.0
         if delivered:
-            took = delivered - first.at
-            waits[first.dst].append(took)
+            took = delivered - first.submitted_at
+            waits[first.destination].append(took)
             waits[first.lane].append(took)
             waits[None].append(took)
             target = span(lane.target)
@@ -82,7 +82,7 @@
         "relays": day.relays.count,
         "took_s": round(result.took, 1),
         "void": judge.void,
-        "late_ms": judge.late // MS,
+        "late_ms": judge.max_delay // MS,
         "service": round(value / most, 4) if most else None,
         "all": row(whole, None, sum(calls.values()), sum(refused.values())),
         "destinations": {names[dst]: row(words[dst], dst, calls[dst], refused[dst]) for dst in sorted(words)},
