--- a/courseroute/town/play.py
+++ b/courseroute/town/play.py
@@ -27,7 +27,7 @@
 from courseroute.town.platform import Directory, Platform, entries_of, entry_of
 from courseroute.town.quarter import read, say
 from courseroute.town.relays import Relays, default_command
-from courseroute.town.script import AT_PLATFORM, AT_RELAYS, IN_PROCESS, destinations, strikes
+from courseroute.town.script import PLATFORM_FAULTS, PROCESS_FAULTS, RELAY_FAULTS, destinations, strikes
 
 SORTED_WITHIN = 400 * MS  # rows of all workers come within so long and are judged in order of time
 BETWEEN_LOOKS = 0.1  # seconds
@@ -237,11 +237,11 @@
             begins=True,
             until=self.start + strike.end,
         )
-        if strike.kind in AT_RELAYS:
+        if strike.kind in RELAY_FAULTS:
             for relay in self.relays.relays:
                 if relay.name in strike.names:
                     nursery.start_soon(self.at_relay, nursery, relay, strike)
-        elif strike.kind in AT_PLATFORM:
+        elif strike.kind in PLATFORM_FAULTS:
             await self.at_platform(strike)
         elif strike.kind in ("drain", "leave", "replace"):
             await self.at_directory(strike)
@@ -250,7 +250,7 @@
         lasts = strike.end - strike.begin
         if strike.kind == "requests-late":  # the clients do it
             return
-        if strike.kind in IN_PROCESS:
+        if strike.kind in PROCESS_FAULTS:
             await self.relays.fail_inside(relay, strike)
         elif strike.kind == "wipe":
             nursery.start_soon(self.relays.kill, relay, True)
--- a/courseroute/town/quarter.py
+++ b/courseroute/town/quarter.py
@@ -17,7 +17,7 @@
 
 from courseroute.town.clients import Clients, Reach
 from courseroute.town.hosts import Hosts
-from courseroute.town.script import AT_HOSTS, Day, arrivals, destinations, strikes
+from courseroute.town.script import HOST_FAULTS, Day, arrivals, destinations, strikes
 
 FLUSH = 0.02
 TICK, LATE = 0.05, 100_000_000
@@ -44,7 +44,7 @@
             nursery.start_soon(self.tick)
             await self.hosts.serve(nursery)
             for number, strike in enumerate(strikes(self.day)):
-                if strike.kind in AT_HOSTS:
+                if strike.kind in HOST_FAULTS:
                     nursery.start_soon(self.hosts.play, number, strike, start)
                 elif strike.kind == "requests-late":
                     nursery.start_soon(self.clients.play, number, strike, start)
--- a/courseroute/town/relays.py
+++ b/courseroute/town/relays.py
@@ -20,7 +20,7 @@
 from courseroute.checked import span
 from courseroute.run.setup import Fleet, Limits, Setup
 from courseroute.town.clients import Reach
-from courseroute.town.script import IN_PROCESS, strikes
+from courseroute.town.script import PROCESS_FAULTS, strikes
 
 READY = b"GET /ready HTTP/1.1\r\nHost: town\r\nConnection: close\r\n\r\n"
 HALF_REQUEST = b"POST /notice HTTP/1.1\r\nHost: town\r\nX-Request-Id: "
@@ -63,7 +63,7 @@
         self.day, self.clock, self.tell, self.front = day, clock, tell, front
         self.relays = [Relay(i, folder, place, command) for i, place in enumerate(places)]
         self.tasks = None
-        self.needs_shims = any(strike.kind in IN_PROCESS for strike in strikes(day))
+        self.needs_shims = any(strike.kind in PROCESS_FAULTS for strike in strikes(day))
 
     def configure(self, relay, directory):
         form = self.day.relays
--- a/courseroute/town/script.py
+++ b/courseroute/town/script.py
@@ -1,6 +1,7 @@
-"""A town's day: the TOML file's form, its faults resolved to times, its arrivals drawn from the seed.
+"""A day of the emulator: the schema of its TOML file, the schedule of its faults and its generated arrivals.
 
-No socket and no clock: the same file gives the same arrivals and faults, byte for byte, on any machine.
+No socket and no clock: the same file and seed give the same arrivals and faults, byte for byte, on any
+machine.
 """
 
 import os
@@ -14,7 +15,7 @@
 from courseroute.run.setup import KindTerms, LaneTerms, Log, Rules, Sending
 
 S = 1_000_000_000
-AT_HOSTS = {
+HOST_FAULTS = {
     "refuse",
     "silent",
     "hang",
@@ -32,8 +33,8 @@
     "limit",
     "answer-copied",
 }
-IN_PROCESS = {"system-calls", "held-up", "disk-errors", "clock-step"}  # of a relay: town/shims cause them
-AT_RELAYS = IN_PROCESS | {
+PROCESS_FAULTS = {"system-calls", "held-up", "disk-errors", "clock-step"}  # caused in a relay by town/shims
+RELAY_FAULTS = PROCESS_FAULTS | {
     "kill",
     "restart",
     "restart-in-use",
@@ -44,7 +45,7 @@
     "crowd",
     "requests-late",
 }
-AT_PLATFORM = {
+PLATFORM_FAULTS = {
     "directory-down",
     "directory-late",
     "directory-crowded",
@@ -52,20 +53,20 @@
     "notices-down",
     "notices-unanswered",
 }
-IN_TRAFFIC = {"burst", "hot", "hot-client"}
-KINDS = AT_HOSTS | AT_RELAYS | AT_PLATFORM | IN_TRAFFIC
-# Of drawn faults: `by` in nanoseconds, the least and the most, and the share of calls that they strike.
-DRAWN_BY = {
+TRAFFIC_FAULTS = {"burst", "hot", "hot-client"}
+FAULT_KINDS = HOST_FAULTS | RELAY_FAULTS | PLATFORM_FAULTS | TRAFFIC_FAULTS
+# Settings of randomly drawn faults, by kind: the range of `by` in nanoseconds, `share` and `factor`.
+RANDOM_BY_NS = {
     "answer-copied": (0, 20_000_000),
     "requests-late": (100_000_000, 350_000_000),
     "held-up": (20_000_000, 150_000_000),
     "clock-step": (S, 3600 * S),
 }
-DRAWN_SHARE = {"system-calls": 0.01, "held-up": 0.01, "requests-late": 0.5, "notices-unanswered": 0.3}
-DRAWN_FACTOR = {"slow": 5.0, "burst": 3.0, "limit": 0.5}
-OUTAGES = {"refuse", "silent", "hang", "reset-before", "shut"}  # after these a destination is cold
-# These have no length.
-MOMENTS = {
+RANDOM_SHARE = {"system-calls": 0.01, "held-up": 0.01, "requests-late": 0.5, "notices-unanswered": 0.3}
+RANDOM_FACTOR = {"slow": 5.0, "burst": 3.0, "limit": 0.5}
+OUTAGES = {"refuse", "silent", "hang", "reset-before", "shut"}  # a destination is cold after these
+# Faults without a duration.
+INSTANT_FAULTS = {
     "kill",
     "restart",
     "restart-in-use",
@@ -76,103 +77,112 @@
     "watches-silent",
     "clock-step",
 }
-Kind = Literal[tuple(sorted(KINDS))]
+FaultKind = Literal[tuple(sorted(FAULT_KINDS))]
 
 
-class Relays(Form, kw_only=True):
-    """The relays, and what each may use."""
+class RelaySettings(Form, kw_only=True):
+    """The number of relays and the resource limits of each."""
 
     count: Annotated[int, msgspec.Meta(ge=1, le=32)] = 1
     memory_mb: Count = 192
     descriptors: Annotated[int, msgspec.Meta(ge=16)] = 512
     disk_mb: Positive = 16.0
-    noticed_after: Span = "1.5s"  # the front goes on with a dead relay for so long
+    noticed_after: Span = "1.5s"  # clients are still routed to a dead relay for this long
 
 
 class Partner(Form, kw_only=True):
-    """One destination, or `count` alike: its hosts and what they can do."""
+    """One destination, or `count` equal ones: its hosts and their capacity."""
 
     count: Count = 1
     hosts: Count = 1
     kind: str = "plain"
-    areas: list[str] = msgspec.field(default_factory=lambda: ["a"])  # hosts in turn
+    areas: list[str] = msgspec.field(default_factory=lambda: ["a"])  # assigned to the hosts in turn
     pace: Span = "40ms"  # median service time
-    spread: Annotated[float, msgspec.Meta(ge=0, le=3)] = 0.3  # sigma of its logarithm
-    concurrency: Count = 8  # calls a host serves at once
-    queue: Annotated[int, msgspec.Meta(ge=0)] = 16
-    connections: Count = 64  # a host holds; more are refused
-    idle_close: Span = "10s"
-    handshake: Span = "0ms"  # the first call of a connection waits so long
-    limit: Positive | None = None  # calls a second, all relays together
-    window: Span = "1s"  # over which the limit counts
-    aligned: bool = False  # windows begin at whole multiples; else the last `window` counts
-    refused_count: bool = False  # refused calls use the limit up
-    wait: Span | None = None  # told with a refusal
-    reports: bool = False  # answers tell the limit and what is left
-    remembers: Span = "5s"  # a repeated key is dropped for so long
-    stays_down: Span = "10s"  # pushed over when cold, it refuses all for so long
-    share: Positive = 1.0  # of the traffic, against the others
+    spread: Annotated[float, msgspec.Meta(ge=0, le=3)] = 0.3  # sigma of the log-normal service time
+    concurrency: Count = 8  # calls that a host serves at once
+    queue: Annotated[int, msgspec.Meta(ge=0)] = 16  # calls that wait at a host beyond these
+    connections: Count = 64  # open connections of a host; further ones are refused
+    idle_close: Span = "10s"  # a host closes connections that are idle for this long
+    handshake: Span = "0ms"  # extra latency of the first call on a connection
+    limit: Positive | None = None  # calls per second, of all relays together
+    window: Span = "1s"  # period over which the limit is counted
+    aligned: bool = False  # windows begin at whole multiples of `window`; otherwise the window slides
+    refused_count: bool = False  # refused calls count against the limit
+    wait: Span | None = None  # requested from the caller with a refusal
+    reports: bool = False  # answers report the limit and what is left of it
+    remembers: Span = "5s"  # repeats of an idempotency key are ignored for this long
+    stays_down: Span = "10s"  # overloaded while cold, it refuses all calls for this long
+    share: Positive = 1.0  # weight in the traffic, relative to the other destinations
 
 
 class Traffic(Form, kw_only=True):
-    rate: Positive = 20.0  # messages a second
+    """The load: how many messages arrive, how they are composed and how clients retry."""
+
+    rate: Positive = 20.0  # messages per second
     arrivals: Literal["poisson", "even"] = "poisson"
-    lanes: dict[str, Positive]  # share of each lane
-    body: Annotated[int, msgspec.Meta(ge=0, le=65536)] = 200
+    lanes: dict[str, Positive]  # weight of each lane
+    body: Annotated[int, msgspec.Meta(ge=0, le=65536)] = 200  # bytes
     customers: Count = 4  # c0, c1, ...
-    keys: Count = 50  # of ordered lanes
-    answer_within: Span = "400ms"  # a client hands in again after that
-    again: Annotated[int, msgspec.Meta(ge=0)] = 4  # times a message is handed in again
-    connections: Annotated[int, msgspec.Meta(ge=1, le=256)] = 32  # a client process keeps to each relay
+    keys: Count = 50  # distinct ordering keys of ordered lanes
+    answer_within: Span = "400ms"  # a client retries after that
+    again: Annotated[int, msgspec.Meta(ge=0)] = 4  # retries of a message
+    connections: Annotated[int, msgspec.Meta(ge=1, le=256)] = (
+        32  # at most, from a client process to each relay
+    )
 
 
 class Fault(Form, kw_only=True):
-    kind: Kind
+    """One fault: its kind, its time and what it affects."""
+
+    kind: FaultKind
     at: Span
     lasts: Span | None = None
-    where: str = "*"  # destination, host (destination.host) or relay (n0); * and ? stand for any
-    share: Share = 1.0  # of the calls it strikes
-    factor: Positive = 1.0  # slow, burst: so many times; limit: the true limit becomes that share
+    where: str = "*"  # pattern for destinations, hosts (destination.host) or relays (n0); * and ? match any
+    share: Share = 1.0  # of the calls that are affected
+    factor: Positive = 1.0  # slow, burst: multiplies; limit: the true limit becomes that share of itself
     told: Positive | None = None  # limit: reports tell that share of the true limit
-    ran: bool | None = None  # reset-after, errors: whether the message has run; else drawn
-    by: Span = "1s"  # directory-late: each answer; directory-crowded: what a call anew takes;
-    # answer-copied: how long behind an answer it is written again; requests-late: on their way at the most;
-    # held-up: a call at the most; clock-step: the wall clock
-    back: bool = False  # clock-step: backwards
+    ran: bool | None = None  # reset-after, errors: whether the message is executed; drawn if absent
+    # directory-late: delay of each answer; directory-crowded: duration of each new call; answer-copied: delay
+    # of the duplicate after the answer; requests-late: longest time in transit; held-up: longest delay of a
+    # system call; clock-step: step of the wall clock
+    by: Span = "1s"
+    back: bool = False  # clock-step: steps backwards
 
     def faults(self):
-        if self.kind not in MOMENTS and self.lasts is None:
-            yield "lasts", "nothing", f"a span: a {self.kind} begins and ends"
+        if self.kind not in INSTANT_FAULTS and self.lasts is None:
+            yield "lasts", "nothing", f"a span: the duration of {self.kind}"
         if self.kind in ("slow", "burst") and self.factor == 1.0:
-            yield "factor", "1.0", f"a number other than 1, as nothing would be {self.kind}"
+            yield "factor", "1.0", f"a number other than 1; with 1, {self.kind} has no effect"
         if self.kind == "limit" and self.factor == 1.0 and self.told is None:
-            yield "factor", "1.0", "another factor, or `told`, as nothing would change"
+            yield "factor", "1.0", "a number other than 1, or `told`; otherwise the fault has no effect"
 
 
-class Draw(Form, kw_only=True):
-    """Faults drawn from the seed, beside those that are written."""
+class RandomFaults(Form, kw_only=True):
+    """Faults generated from the seed, in addition to those listed. Intervals and durations vary by half."""
 
-    kinds: list[Kind]
-    every: Span = "4s"
-    lasts: Span = "2s"
-    since: Span = "2s"
+    kinds: list[FaultKind]  # one that is listed twice is drawn twice as often
+    every: Span = "4s"  # mean interval
+    lasts: Span = "2s"  # mean duration
+    since: Span = "2s"  # time of the first one
 
 
 class Day(Form, kw_only=True):
+    """The whole file of a day."""
+
     about: str = ""
     seed: int = 1
-    lasts: Span = "20s"
-    workers: Annotated[int, msgspec.Meta(ge=1, le=16)] = 1  # processes of partners and clients
-    relays: Relays = msgspec.field(default_factory=Relays)
+    lasts: Span = "20s"  # until the last arrival
+    workers: Annotated[int, msgspec.Meta(ge=1, le=16)] = 1  # processes that run the partners and clients
+    relays: RelaySettings = msgspec.field(default_factory=RelaySettings)
     partners: dict[str, Partner]
     traffic: Traffic
     lanes: dict[str, LaneTerms]
-    quotas: dict[str, Positive] = {}  # customer -> messages a second that are its share
+    quotas: dict[str, Positive] = {}  # customer -> messages per second
     kinds: dict[str, KindTerms] = msgspec.field(default_factory=lambda: {"plain": KindTerms()})
     rules: Rules = msgspec.field(default_factory=Rules)
     sending: Sending = msgspec.field(default_factory=Sending)
     log: Log = msgspec.field(default_factory=Log)
-    faults_drawn: Draw | None = None
+    faults_drawn: RandomFaults | None = None
     fault: list[Fault] = []
 
     def faults(self):
@@ -181,7 +191,7 @@
                 yield f"traffic.lanes.{name}", repr(name), "a lane of the file: " + ", ".join(self.lanes)
         for name, lane in self.lanes.items():
             if lane.deadline is None:
-                yield f"lanes.{name}.deadline", "nothing", "a span: the clients' time"
+                yield f"lanes.{name}.deadline", "nothing", "a span: the time that clients allow"
         for name in self.quotas:
             if name not in customers(self):
                 yield f"quotas.{name}", repr(name), "a customer: " + ", ".join(customers(self)[:12])
@@ -190,35 +200,37 @@
                 allowed = "a kind of the file: " + ", ".join(self.kinds)
                 yield f"partners.{name}.kind", repr(partner.kind), allowed
         if not self.partners:
-            yield "partners", "none", "one table a partner, as [partners.insurer]"
+            yield "partners", "none", "one table for each partner, such as [partners.insurer]"
         relays = [f"n{i}" for i in range(self.relays.count)]
         hosts = [host.name for dst in destinations(self) for host in dst.hosts]
         names = [dst.name for dst in destinations(self)]
         for at, fault in enumerate(self.fault):
             allowed = (
                 names + hosts
-                if fault.kind in AT_HOSTS
+                if fault.kind in HOST_FAULTS
                 else relays
-                if fault.kind in AT_RELAYS
+                if fault.kind in RELAY_FAULTS
                 else customers(self)
                 if fault.kind == "hot-client"
                 else names
             )
-            anywhere = fault.kind in AT_PLATFORM | {"burst"}
+            anywhere = fault.kind in PLATFORM_FAULTS | {"burst"}
             if not anywhere and not any(fnmatchcase(name, fault.where) for name in allowed):
                 yield f"fault[{at}].where", repr(fault.where), "one of " + ", ".join(allowed[:12])
             if span(fault.at) >= span(self.lasts):
-                yield f"fault[{at}].at", fault.at, f"before the last arrival, {self.lasts}"
+                yield f"fault[{at}].at", fault.at, f"a time before the last arrival, {self.lasts}"
 
 
 class HostPlace(NamedTuple):
+    """One host of a destination."""
+
     name: str  # insurer-0.1
     index: int
     area: str
 
 
 class Place(NamedTuple):
-    """A destination with its number on the wire."""
+    """One destination, its number on the wire, its settings and its hosts."""
 
     number: int
     name: str  # insurer-0
@@ -227,7 +239,7 @@
 
 
 class Strike(NamedTuple):
-    """One fault with its times in nanoseconds from the day's start, and the names it strikes."""
+    """One scheduled fault: its times in nanoseconds from the day's start and the names of what it affects."""
 
     kind: str
     begin: int
@@ -237,102 +249,113 @@
 
 
 class Arrival(NamedTuple):
-    n: int
+    """One message that a client submits."""
+
+    n: int  # its number in the day, from 0
     at: int  # nanoseconds from the day's start
     lane: str
-    dst: int
+    dst: int  # number of the destination
     customer: str
-    key: str  # of ordered lanes, else ""
-    relay: float  # drawn: which relay the front hands it to
-    body: int
+    key: str  # ordering key, empty unless the lane is ordered
+    relay: float  # random number in [0, 1) that selects the relay
+    body: int  # bytes
 
 
 def load(path, **changed):
-    """The Day in a file; Bad with every mistake. `changed` replaces top-level values (seed=3)."""
-    told = with_base(str(path), ()) | {name: value for name, value in changed.items() if value is not None}
-    return made(told, Day, str(path))
+    """The Day in a file. `changed` replaces top-level values (seed=3). Raises Bad with every mistake."""
+    content = load_with_base(str(path), ()) | {
+        name: value for name, value in changed.items() if value is not None
+    }
+    return made(content, Day, str(path))
 
 
-def with_base(path, above):
-    """A file's content over that of the file it names as `base`, beside it: tables are merged key by key."""
-    told = read(path)
-    base = told.pop("base", None)
+def load_with_base(path, descendants):
+    """The content of a file merged over that of its `base`, a file in the same folder. Tables are merged key
+    by key. `descendants` are the files that lead here by their `base`, to detect a cycle."""
+    content = read(path)
+    base = content.pop("base", None)
     if base is None:
-        return told
-    beside = os.path.join(os.path.dirname(path), str(base))
-    if beside in above or not isinstance(base, str):
-        raise Bad(path, [Mistake("base", repr(base), "another day's file, which does not lead back here")])
-    return merged(with_base(beside, (*above, path, beside)), told)
-
-
-def merged(under, over):
-    if not (isinstance(under, dict) and isinstance(over, dict)):
-        return over
-    return under | {
-        name: merged(under[name], value) if name in under else value for name, value in over.items()
+        return content
+    base_path = os.path.join(os.path.dirname(path), str(base))
+    if base_path in descendants or not isinstance(base, str):
+        raise Bad(
+            path, [Mistake("base", repr(base), "another day's file that does not refer back to this one")]
+        )
+    return merge(load_with_base(base_path, (*descendants, path, base_path)), content)
+
+
+def merge(base, override):
+    """`override` over `base`; where both are maps, key by key."""
+    if not (isinstance(base, dict) and isinstance(override, dict)):
+        return override
+    return base | {
+        name: merge(base[name], value) if name in base else value for name, value in override.items()
     }
 
 
 def customers(day):
+    """The names of all customers."""
     return [f"c{i}" for i in range(day.traffic.customers)]
 
 
 def destinations(day):
-    found = []
+    """All destinations with their hosts, numbered from 1 in the file's order."""
+    result = []
     for name, form in day.partners.items():
         for i in range(form.count):
-            own = f"{name}-{i}"
+            own_name = f"{name}-{i}"
             hosts = tuple(
-                HostPlace(f"{own}.{h}", h, form.areas[h % len(form.areas)]) for h in range(form.hosts)
+                HostPlace(f"{own_name}.{h}", h, form.areas[h % len(form.areas)]) for h in range(form.hosts)
             )
-            found.append(Place(len(found) + 1, own, form, hosts))
-    return found
+            result.append(Place(len(result) + 1, own_name, form, hosts))
+    return result
 
 
 def strikes(day):
-    """All faults of the day, those drawn too, in order of their beginning."""
-    found = [strike(day, fault) for fault in day.fault]
+    """All faults of the day, listed and random ones, in order of their beginning."""
+    result = [schedule(day, fault) for fault in day.fault]
     if drawn := day.faults_drawn:
         rng = np.random.default_rng([day.seed, 1])
         at = span(drawn.since)
         while at < span(day.lasts):
             kind = str(rng.choice(drawn.kinds))
-            names = names_for(day, kind)
+            names = target_names(day, kind)
             fault = Fault(
                 kind=kind,
                 at=f"{at}ns",
                 where=str(rng.choice(names)) if names else "*",
                 lasts=f"{int(span(drawn.lasts) * rng.uniform(0.5, 1.5))}ns",
-                by=drawn_by(kind, rng),
+                by=random_by(kind, rng),
                 back=bool(kind == "clock-step" and rng.random() < 0.5),
-                share=DRAWN_SHARE.get(kind, 1.0),
-                factor=DRAWN_FACTOR.get(kind, 1.0),
+                share=RANDOM_SHARE.get(kind, 1.0),
+                factor=RANDOM_FACTOR.get(kind, 1.0),
             )
-            found.append(strike(day, fault))
+            result.append(schedule(day, fault))
             at += int(span(drawn.every) * rng.uniform(0.5, 1.5))
-    return sorted(found, key=lambda one: (one.begin, one.kind, one.names))
+    return sorted(result, key=lambda one: (one.begin, one.kind, one.names))
 
 
-def drawn_by(kind, rng):
-    """The `by` of a drawn fault."""
-    return f"{int(rng.uniform(*DRAWN_BY[kind]))}ns" if kind in DRAWN_BY else "1s"
+def random_by(kind, rng):
+    """The value of `by` of a random fault."""
+    return f"{int(rng.uniform(*RANDOM_BY_NS[kind]))}ns" if kind in RANDOM_BY_NS else "1s"
 
 
-def names_for(day, kind):
-    if kind in AT_RELAYS:
+def target_names(day, kind):
+    """What a random fault of that kind may affect; empty where it names no target."""
+    if kind in RELAY_FAULTS:
         return [f"n{i}" for i in range(day.relays.count)]
     if kind == "hot-client":
         return customers(day)
-    return [] if kind in AT_PLATFORM | {"burst"} else [dst.name for dst in destinations(day)]
+    return [] if kind in PLATFORM_FAULTS | {"burst"} else [dst.name for dst in destinations(day)]
 
 
-def strike(day, fault):
-    """Host faults name hosts, whole destinations too (as then all its hosts are struck at once)."""
+def schedule(day, fault):
+    """The Strike of a fault. A host fault names hosts; and destinations, if it affects all of their hosts."""
     begin = span(fault.at)
     end = begin + (span(fault.lasts) if fault.lasts else 0)
-    if fault.kind in AT_RELAYS | {"hot-client"}:
-        names = [name for name in names_for(day, fault.kind) if fnmatchcase(name, fault.where)]
-    elif fault.kind in AT_HOSTS:
+    if fault.kind in RELAY_FAULTS | {"hot-client"}:
+        names = [name for name in target_names(day, fault.kind) if fnmatchcase(name, fault.where)]
+    elif fault.kind in HOST_FAULTS:
         names = [dst.name for dst in destinations(day) if fnmatchcase(dst.name, fault.where)]
         names += [
             host.name
@@ -346,34 +369,34 @@
 
 
 def arrivals(day):
-    """Every message of the day in order of time, drawn from the seed."""
+    """Every message of the day in order of time, generated from the seed."""
     rng = np.random.default_rng([day.seed, 0])
-    places, lanes, clients = destinations(day), list(day.traffic.lanes), customers(day)
-    dst_shares = np.array([dst.form.share for dst in places])
+    all_destinations, lanes, all_customers = destinations(day), list(day.traffic.lanes), customers(day)
+    dst_shares = np.array([dst.form.share for dst in all_destinations])
     lane_shares = np.array([day.traffic.lanes[name] for name in lanes])
     lane_shares = lane_shares / lane_shares.sum()
-    changes = [one for one in strikes(day) if one.kind in IN_TRAFFIC]
-    found, at, end = [], 0.0, span(day.lasts)
+    traffic_faults = [strike for strike in strikes(day) if strike.kind in TRAFFIC_FAULTS]
+    result, at, end = [], 0.0, span(day.lasts)
     while True:
-        rate, shares, whose = day.traffic.rate, dst_shares, []
-        for one in changes:
-            if one.begin <= at < one.end:
-                if one.kind == "burst":
-                    rate *= one.fault.factor
-                elif one.kind == "hot-client":
-                    whose = one.names if rng.random() < one.fault.share else []
+        rate, shares, senders = day.traffic.rate, dst_shares, []
+        for strike in traffic_faults:
+            if strike.begin <= at < strike.end:
+                if strike.kind == "burst":
+                    rate *= strike.fault.factor
+                elif strike.kind == "hot-client":
+                    senders = strike.names if rng.random() < strike.fault.share else []
                 else:
-                    rows = np.array([dst.name in one.names for dst in places])
-                    rest, hot, part = shares * ~rows, shares * rows, min(one.fault.share, 0.9)
-                    shares = rest / max(rest.sum(), 1e-9) * (1 - part) + hot / hot.sum() * part
+                    is_hot = np.array([dst.name in strike.names for dst in all_destinations])
+                    others, hot, hot_share = shares * ~is_hot, shares * is_hot, min(strike.fault.share, 0.9)
+                    shares = others / max(others.sum(), 1e-9) * (1 - hot_share) + hot / hot.sum() * hot_share
         at += (rng.exponential(1 / rate) if day.traffic.arrivals == "poisson" else 1 / rate) * S
         if at >= end:
-            return found
+            return result
         lane = lanes[int(rng.choice(len(lanes), p=lane_shares))]
-        dst = places[int(rng.choice(len(places), p=shares / shares.sum()))].number
+        dst = all_destinations[int(rng.choice(len(all_destinations), p=shares / shares.sum()))].number
         key = f"key-{int(rng.integers(day.traffic.keys))}" if day.lanes[lane].ordered else ""
-        whose = whose or clients
-        customer = whose[int(rng.integers(len(whose)))]
-        found.append(
-            Arrival(len(found), int(at), lane, dst, customer, key, float(rng.random()), day.traffic.body)
+        senders = senders or all_customers
+        customer = senders[int(rng.integers(len(senders)))]
+        result.append(
+            Arrival(len(result), int(at), lane, dst, customer, key, float(rng.random()), day.traffic.body)
         )
