--- a/courseroute/command/show.py
+++ b/courseroute/command/show.py
@@ -102,20 +102,20 @@
         yield None
         return
     with Live(console=OUT, refresh_per_second=4, transient=True) as screen:
-        yield lambda town, seconds: screen.update(running(town, name, seconds))
+        yield lambda emulation, seconds: screen.update(running(emulation, name, seconds))
 
 
-def running(town, name, seconds):
-    rows = {place.number: [place.name, 0, 0, 0, 0] for place in town.places}
-    for msg in town.judge.messages.values():
+def running(emulation, name, seconds):
+    rows = {destination.number: [destination.name, 0, 0, 0, 0] for destination in emulation.destinations}
+    for msg in emulation.judge.messages.values():
         row = rows[msg.destination]
         row[1] += 1
         row[2] += msg.delivered_at is not None
         row[3] += msg.accepted_at is not None and msg.closed_at is None
         row[4] += sum(call.status in (429, 503) for call in msg.calls)
-    late = ", town late" if town.judge.void else ""
+    late = ", town late" if emulation.judge.void else ""
     return table(
-        f"{name}, {seconds:.1f} s, {len(town.judge.broken)} broken rules{late}",
+        f"{name}, {seconds:.1f} s, {len(emulation.judge.broken)} broken rules{late}",
         ["destination", "ids", "delivered", "open", "refused"],
         rows.values(),
     )
--- a/courseroute/town/play.py
+++ b/courseroute/town/play.py
@@ -1,4 +1,4 @@
-"""Plays one day: workers, platform and relays started, faults struck, the ledger judged while it runs.
+"""Runs one day: starts workers, platform and relays, applies the faults and checks the ledger meanwhile.
 
 Called by the command line, the tests and the laboratory: `await play(day, folder, command, watch)`.
 """
@@ -25,96 +25,110 @@
 from courseroute.town.clients import REPORTED_LATE
 from courseroute.town.judge import MS, Judge, S
 from courseroute.town.platform import Directory, Platform, entries_of, entry_of
-from courseroute.town.quarter import read, say
+from courseroute.town.quarter import read_lines, write_line
 from courseroute.town.relays import Relays, default_command
 from courseroute.town.script import PLATFORM_FAULTS, PROCESS_FAULTS, RELAY_FAULTS, destinations, strikes
 
-SORTED_WITHIN = 400 * MS  # rows of all workers come within so long and are judged in order of time
-BETWEEN_LOOKS = 0.1  # seconds
-LEAD = 200 * MS  # between the word to start and the first arrival
-LEFT_AFTER = 2.0  # seconds between leaving and left
+LEDGER_DELAY = 400 * MS  # rows of all workers arrive within this time; older ones are checked in order
+CHECK_INTERVAL = 0.1  # seconds
+START_DELAY = 200 * MS  # from the start message to the first arrival
+LEFT_DELAY = 2.0  # seconds from the status leaving to left
 
 
-class Result(NamedTuple):
+class DayResult(NamedTuple):
+    """What is left of a day: its checked ledger and its relays."""
+
     day: object
     judge: Judge
     relays: list
     rows: list  # the whole ledger, in order of time
     start: int
-    took: float
+    duration_s: float
+
 
+class Emulation:
+    """One day on loopback. Files are kept in `folder`, the ledger too if `keep` is set."""
 
-class Town:
     def __init__(self, day, folder, command=None, keep=True):
         self.day, self.folder, self.command = day, folder, command or default_command()
         self.clock, self.judge = time.monotonic_ns, Judge(day)
-        self.waiting, self.count, self.rows, self.keep = [], itertools.count(), [], keep
-        self.places = destinations(day)
+        self.pending_rows, self.row_sequence, self.rows, self.keep_rows = [], itertools.count(), [], keep
+        self.destinations = destinations(day)
         self.judge.per_host_destinations = {
-            place.number for place in self.places if day.kinds[place.form.kind].apart
+            place.number for place in self.destinations if day.kinds[place.form.kind].apart
         }
-        self.workers, self.queues, self.start, self.cut_off = [], [], 0, False
-        self.ending = False  # the workers were told to end
-        self.downs = 0  # outages of the directory under way
+        self.workers, self.worker_queues, self.start, self.interrupted = [], [], 0, False
+        self.stopping = False  # the workers have been told to end
+        self.directory_faults = 0  # active outages of the directory
 
     # The ledger.
 
-    def tell(self, what, at, **row):
-        self.take({"at": at, "what": what, **row})
+    def record(self, what, at, **row):
+        """Adds a row to the ledger; `at` in nanoseconds."""
+        self.add_row({"at": at, "what": what, **row})
 
-    def take(self, row):
-        heapq.heappush(self.waiting, (row["at"], next(self.count), row))
+    def add_row(self, row):
+        heapq.heappush(self.pending_rows, (row["at"], next(self.row_sequence), row))
 
-    def judge_until(self, at):
-        while self.waiting and self.waiting[0][0] <= at:
-            _, _, row = heapq.heappop(self.waiting)
-            if self.keep:
+    def process_rows_until(self, at):
+        """Passes the rows up to time `at` to the judge, in order of their time."""
+        while self.pending_rows and self.pending_rows[0][0] <= at:
+            _, _, row = heapq.heappop(self.pending_rows)
+            if self.keep_rows:
                 self.rows.append(row)
             self.judge.feed(row)
 
-    # Parts.
+    # Start and end.
 
     async def play(self, watch=None):
-        """The day's Result; `watch` is told (town, seconds since the start) now and then."""
+        """Runs the day and returns its DayResult. `watch` is called with (emulation, seconds since the start)
+        at each check."""
         begun = time.monotonic()
         self.folder.mkdir(parents=True, exist_ok=True)
-        relay_places = [free_place(i) for i in range(self.day.relays.count)]
+        relay_addresses = [free_address(i) for i in range(self.day.relays.count)]
         try:
             async with trio.open_nursery() as nursery:
-                hosts = await self.start_workers(nursery, relay_places)
-                self.directory = Directory(entries_of(self.places))
-                self.platform = Platform(self.directory, hosts, self.clock, self.tell, self.ended)
+                hosts = await self.start_workers(nursery, relay_addresses)
+                self.directory = Directory(entries_of(self.destinations))
+                self.platform = Platform(self.directory, hosts, self.clock, self.record, self.on_notice)
                 self.relays = Relays(
-                    self.day, self.folder, relay_places, self.command, self.clock, self.tell, self.front
+                    self.day,
+                    self.folder,
+                    relay_addresses,
+                    self.command,
+                    self.clock,
+                    self.record,
+                    self.set_reachability,
                 )
-                self.relays.tasks = nursery
+                self.relays.nursery = nursery
                 await self.start_relays(nursery)
                 nursery.start_soon(self.relays.watch)
-                nursery.start_soon(self.heed_signals, nursery)
+                nursery.start_soon(self.handle_signals, nursery)
                 await self.run_day(nursery, watch)
-                self.relays.end_all()
-                await self.end_workers()
+                self.relays.kill_all()
+                await self.stop_workers()
                 nursery.cancel_scope.cancel()
         finally:
-            self.clean()
-        if self.cut_off:
+            self.kill_processes()
+        if self.interrupted:
             raise KeyboardInterrupt
-        self.judge_until(1 << 63)
+        self.process_rows_until(1 << 63)
         self.judge.finish()
-        if self.keep:
+        if self.keep_rows:
             self.write_ledger()
-        took = time.monotonic() - begun
-        return Result(self.day, self.judge, self.relays.relays, self.rows, self.start, took)
+        duration_s = time.monotonic() - begun
+        return DayResult(self.day, self.judge, self.relays.relays, self.rows, self.start, duration_s)
 
-    async def heed_signals(self, nursery):
-        """Told to end before its time, a town ends what it started."""
+    async def handle_signals(self, nursery):
+        """SIGTERM cancels the day, so that everything it started is ended."""
         if threading.current_thread() is threading.main_thread():
             with trio.open_signal_receiver(signal.SIGTERM) as signals:
                 async for _ in signals:
-                    self.cut_off = True
+                    self.interrupted = True
                     nursery.cancel_scope.cancel()
 
-    async def start_workers(self, nursery, relay_places):
+    async def start_workers(self, nursery, relay_addresses):
+        """Starts the workers; returns {host name: [address for each relay]}."""
         hosts, count = {}, self.day.workers
         self.worker_lines = []
         for number in range(count):
@@ -125,17 +139,17 @@
                 env=os.environ | {"PYTHONPATH": os.pathsep.join(sys.path)},
             )
             self.workers.append(process)
-            await say(
+            await write_line(
                 process.stdin,
                 {
                     "day": msgspec.to_builtins(self.day),
                     "number": number,
                     "count": count,
-                    "relays": relay_places,
+                    "relays": relay_addresses,
                 },
             )
         for process in self.workers:
-            lines = read(process.stdout)
+            lines = read_lines(process.stdout)
             self.worker_lines.append(lines)
             hosts |= (await anext(lines))["hosts"]
         return hosts
@@ -150,86 +164,87 @@
                 raise RuntimeError(f"{relay.name} was not ready within 30 s; its log ends:\n{said}")
 
     async def run_day(self, nursery, watch):
-        self.start = self.clock() + LEAD
+        """Runs until all messages are closed, or 3 s after the last deadline."""
+        self.start = self.clock() + START_DELAY
         for process, lines in zip(self.workers, self.worker_lines, strict=True):
-            queue, told = trio.open_memory_channel(math.inf)
+            queue, messages = trio.open_memory_channel(math.inf)
             queue.send_nowait({"start": self.start})
-            self.queues.append(queue)
-            nursery.start_soon(self.send, process, told)
-            nursery.start_soon(self.listen, lines)
+            self.worker_queues.append(queue)
+            nursery.start_soon(self.send, process, messages)
+            nursery.start_soon(self.read_worker, lines)
         for strike in strikes(self.day):
-            nursery.start_soon(self.strike, nursery, strike)
+            nursery.start_soon(self.run_fault, nursery, strike)
         last = self.start + span(self.day.lasts)
         most = last + max(span(lane.deadline) for lane in self.day.lanes.values()) + 3 * S
         while True:
-            await self.look_again()
+            await self.wait_for_next_check()
             now = self.clock()
-            self.judge_until(now - SORTED_WITHIN)
+            self.process_rows_until(now - LEDGER_DELAY)
             if watch:
                 watch(self, (now - self.start) / S)
-            if now > most or now > last + S and not self.judge.open() and not self.away():
+            if now > most or now > last + S and not self.judge.open() and not self.any_relay_down():
                 return
 
-    async def look_again(self):
-        """Waits for the next look at the day; a process that was held up meanwhile blames itself, as what
-        relays told the platform was heard late."""
-        due = self.clock() + int(BETWEEN_LOOKS * S)
-        await trio.sleep(BETWEEN_LOOKS)
+    async def wait_for_next_check(self):
+        """Waits for the next check. Records when this process ran late, since what the relays sent to the
+        platform was then read late."""
+        due = self.clock() + int(CHECK_INTERVAL * S)
+        await trio.sleep(CHECK_INTERVAL)
         if (by := self.clock() - due) > REPORTED_LATE:
-            self.tell("late", self.clock(), by=by)
+            self.record("late", self.clock(), by=by)
 
-    def away(self):
-        return any(relay.process is None or not relay.wanted for relay in self.relays.relays)
+    def any_relay_down(self):
+        return any(relay.process is None or not relay.expected_running for relay in self.relays.relays)
 
-    async def listen(self, lines):
+    async def read_worker(self, lines):
         async for rows in lines:
             for row in rows:
-                self.take(row)
-        if not self.ending:
+                self.add_row(row)
+        if not self.stopping:
             raise RuntimeError("a worker process of the town ended before its day; its trace is above")
 
-    async def end_workers(self):
-        self.ending = True
-        self.to_workers({"do": "end"})
+    async def stop_workers(self):
+        self.stopping = True
+        self.send_to_workers({"do": "end"})
         with trio.move_on_after(3):
             for process in self.workers:
                 await process.wait()
         await trio.sleep(0.05)
 
-    def clean(self):
+    def kill_processes(self):
         for process in self.workers:
             if process.returncode is None:
                 process.kill()
         if hasattr(self, "relays"):
-            self.relays.end_all()
+            self.relays.kill_all()
 
-    # What passes between the parts.
+    # Messages between the parts.
 
-    def front(self, relay, reach):
-        self.to_workers({"do": "relay", "relay": relay, "reach": reach})
+    def set_reachability(self, relay, reach):
+        self.send_to_workers({"do": "relay", "relay": relay, "reach": reach})
 
-    def to_workers(self, told):
-        for queue in self.queues:
-            queue.send_nowait(told)
+    def send_to_workers(self, message):
+        for queue in self.worker_queues:
+            queue.send_nowait(message)
 
-    async def send(self, process, told):
-        """What a worker is to hear, in order; one that has gone hears nothing."""
+    async def send(self, process, messages):
+        """Sends queued messages to a worker, in order, until it has ended."""
         with contextlib.suppress(trio.BrokenResourceError, trio.ClosedResourceError):
-            async for line in told:
-                await say(process.stdin, line)
+            async for line in messages:
+                await write_line(process.stdin, line)
 
-    def ended(self, name, state, after):
-        """A notice: its client hears that the message came back."""
+    def on_notice(self, name, state, after):
+        """A notice was accepted: the client of a returned message submits it again."""
         n = name.partition("-")[0]
         msg = self.judge.messages.get(name)
         if state == "returned" and n.isdigit() and not (msg and msg.delivered_at):
-            self.to_workers({"do": "again", "n": int(n), "after": after, "mark": "1"})
+            self.send_to_workers({"do": "again", "n": int(n), "after": after, "mark": "1"})
 
-    # Faults at relays and platform, and what the directory tells of the hosts.
+    # Faults of relays and platform, and status changes of hosts.
 
-    async def strike(self, nursery, strike):
+    async def run_fault(self, nursery, strike):
         await trio.sleep(max(0, self.start + strike.begin - self.clock()) / 1e9)
-        self.tell(
+        self.record(
             "fault",
             self.clock(),
             kind=strike.kind,
@@ -240,21 +255,21 @@
         if strike.kind in RELAY_FAULTS:
             for relay in self.relays.relays:
                 if relay.name in strike.names:
-                    nursery.start_soon(self.at_relay, nursery, relay, strike)
+                    nursery.start_soon(self.run_relay_fault, nursery, relay, strike)
         elif strike.kind in PLATFORM_FAULTS:
-            await self.at_platform(strike)
+            await self.run_platform_fault(strike)
         elif strike.kind in ("drain", "leave", "replace"):
-            await self.at_directory(strike)
+            await self.run_directory_fault(strike)
 
-    async def at_relay(self, nursery, relay, strike):
+    async def run_relay_fault(self, nursery, relay, strike):
         lasts = strike.end - strike.begin
-        if strike.kind == "requests-late":  # the clients do it
+        if strike.kind == "requests-late":  # caused by the clients
             return
         if strike.kind in PROCESS_FAULTS:
-            await self.relays.fail_inside(relay, strike)
+            await self.relays.run_process_fault(relay, strike)
         elif strike.kind == "wipe":
             nursery.start_soon(self.relays.kill, relay, True)
-            await trio.sleep(max(span(self.day.relays.noticed_after), 2 * SORTED_WITHIN) / 1e9)
+            await trio.sleep(max(span(self.day.relays.noticed_after), 2 * LEDGER_DELAY) / 1e9)
             for msg in [
                 msg
                 for msg in self.judge.messages.values()
@@ -263,21 +278,21 @@
                 and msg.accepted_at
                 and msg.closed_at is None
             ]:
-                self.to_workers({"do": "again", "n": msg.n, "after": 0, "mark": "again"})
+                self.send_to_workers({"do": "again", "n": msg.n, "after": 0, "mark": "again"})
         elif strike.kind == "reload":
             self.relays.configure(relay, await self.platform.move(relay.number, nursery))
-            self.relays.reread(relay)
+            self.relays.reload(relay)
         else:
             await {
                 "kill": lambda: self.relays.kill(relay),
                 "restart": lambda: self.relays.restart(relay),
                 "restart-in-use": lambda: self.relays.restart(relay, in_use=True),
-                "crowd": lambda: self.relays.crowd(relay, lasts),
+                "crowd": lambda: self.relays.open_idle_connections(relay, lasts),
                 "pause": lambda: self.relays.pause(relay, lasts),
-                "disk-full": lambda: self.relays.fill_disk(relay, lasts),
+                "disk-full": lambda: self.relays.block_file_growth(relay, lasts),
             }[strike.kind]()
 
-    async def at_platform(self, strike):
+    async def run_platform_fault(self, strike):
         platform, lasts = self.platform, (strike.end - strike.begin) / 1e9
         if strike.kind == "watches-silent":
             platform.silence_watches()
@@ -286,15 +301,15 @@
             await trio.sleep(lasts)
             platform.turn_takes = 0
         elif strike.kind == "directory-down":
-            self.downs += 1
-            if self.downs == 1:
+            self.directory_faults += 1
+            if self.directory_faults == 1:
                 platform.set_down(True)
-                self.tell("platform", self.clock(), now="directory-down")
+                self.record("platform", self.clock(), now="directory-down")
             await trio.sleep(lasts)
-            self.downs -= 1
-            if not self.downs:  # another one may have begun meanwhile
+            self.directory_faults -= 1
+            if not self.directory_faults:  # another outage may have begun meanwhile
                 platform.set_down(False)
-                self.tell("platform", self.clock(), now="directory-up")
+                self.record("platform", self.clock(), now="directory-up")
         elif strike.kind == "notices-unanswered":
             platform.draw = random.Random(f"{self.day.seed} {strike.begin}")
             platform.unanswered_share = strike.fault.share
@@ -306,30 +321,35 @@
             self.directory.late = 0
         else:
             platform.notices_down = True
-            self.tell("platform", self.clock(), now="notices-down")
+            self.record("platform", self.clock(), now="notices-down")
             await trio.sleep(lasts)
             platform.notices_down = False
-            self.tell("platform", self.clock(), now="notices-up")
-
-    async def at_directory(self, strike):
-        struck = [(place, host) for place in self.places for host in place.hosts if host.name in strike.names]
-        for place, host in struck:
+            self.record("platform", self.clock(), now="notices-up")
+
+    async def run_directory_fault(self, strike):
+        """Drains, removes or replaces hosts in the directory."""
+        affected = [
+            (place, host) for place in self.destinations for host in place.hosts if host.name in strike.names
+        ]
+        for place, host in affected:
             if strike.kind == "replace":
-                self.change(place, host, "left")
-                self.change(place, host, "active", f"{host.name}+{int(strike.begin)}", time.time_ns() // MS)
+                self.change_status(place, host, "left")
+                self.change_status(
+                    place, host, "active", f"{host.name}+{int(strike.begin)}", time.time_ns() // MS
+                )
             else:
-                self.change(place, host, "leaving")
+                self.change_status(place, host, "leaving")
         if strike.kind == "leave":
-            await trio.sleep(LEFT_AFTER)
+            await trio.sleep(LEFT_DELAY)
         elif strike.kind == "drain":
             await trio.sleep((strike.end - strike.begin) / 1e9)
-        for place, host in struck:
+        for place, host in affected:
             if strike.kind != "replace":
-                self.change(place, host, "left" if strike.kind == "leave" else "active")
+                self.change_status(place, host, "left" if strike.kind == "leave" else "active")
 
-    def change(self, place, host, status, name=None, since=0):
+    def change_status(self, place, host, status, name=None, since=0):
         entry = entry_of(place, host, status, name, since)
-        self.tell("changed", self.clock(), host=entry["name"], status=status)
+        self.record("changed", self.clock(), host=entry["name"], status=status)
         self.directory.change(entry)
 
     def write_ledger(self):
@@ -338,15 +358,16 @@
                 file.write(orjson.dumps(row) + b"\n")
 
 
-def free_place(number):
-    """An address nobody listens on: each relay has one of its own, the port is drawn."""
+def free_address(number):
+    """An unused [address, port]: the address is the relay's own, the port is random."""
     draw = random.SystemRandom()
     while True:
-        place = f"127.18.{number}.1", draw.randrange(20000, 32000)  # below the ports that calls out use
+        place = f"127.18.{number}.1", draw.randrange(20000, 32000)  # below the ephemeral ports
         with socket.socket() as sock, contextlib.suppress(OSError):
             sock.bind(place)
             return list(place)
 
 
 async def play(day, folder, command=None, watch=None, keep=True):
-    return await Town(day, folder, command, keep).play(watch)
+    """Runs a day in `folder` and returns its DayResult; see Emulation."""
+    return await Emulation(day, folder, command, keep).play(watch)
--- a/courseroute/town/quarter.py
+++ b/courseroute/town/quarter.py
@@ -1,10 +1,11 @@
-"""A worker process of the town: some partners with their hosts, and a share of the clients.
+"""A worker process of the emulator: runs the hosts of some destinations and a share of the clients.
 
     python -m courseroute.town.quarter
 
-Started by `play`; JSON lines on standard input and output. First it is told the day, its number among the
-workers and the relays' addresses, and tells its hosts' addresses; then the start; later which relays live and
-which messages are handed in again. It tells the ledger's rows, a list a line.
+Started by `play`, with JSON lines on standard input and output. The first line read holds the day, the
+worker's number and the relays' addresses; the worker answers with the addresses of its hosts. The next line
+holds the start time; later lines say which relays are reachable and which messages to submit again. The
+worker writes the rows of its ledger, a list on each line.
 """
 
 import os
@@ -19,25 +20,31 @@
 from courseroute.town.hosts import Hosts
 from courseroute.town.script import HOST_FAULTS, Day, arrivals, destinations, strikes
 
-FLUSH = 0.02
-TICK, LATE = 0.05, 100_000_000
+FLUSH_INTERVAL_S = 0.02
+TICK_S, REPORTED_DELAY_NS = 0.05, 100_000_000
 
 
-class Quarter:
-    def __init__(self, told):
-        day = self.day = msgspec.convert(told["day"], Day)
-        number, count = told["number"], told["count"]
-        self.rows, self.clock = [], time.monotonic_ns
-        places = [place for i, place in enumerate(destinations(day)) if i % count == number]
-        mine = [arrival for arrival in arrivals(day) if arrival.n % count == number]
-        self.hosts = Hosts(day, places, self.clock, self.tell)
-        self.clients = Clients(day, mine, told["relays"], self.clock, self.tell)
+class Worker:
+    """One worker. It runs the destinations and arrivals whose number is its own modulo the worker count."""
 
-    def tell(self, what, at, **row):
+    def __init__(self, settings):
+        day = self.day = msgspec.convert(settings["day"], Day)
+        number, count = settings["number"], settings["count"]
+        self.rows, self.clock = [], time.monotonic_ns
+        own_destinations = [
+            destination for i, destination in enumerate(destinations(day)) if i % count == number
+        ]
+        own_arrivals = [arrival for arrival in arrivals(day) if arrival.n % count == number]
+        self.hosts = Hosts(day, own_destinations, self.clock, self.record)
+        self.clients = Clients(day, own_arrivals, settings["relays"], self.clock, self.record)
+
+    def record(self, what, at, **row):
+        """Adds a row to the ledger; `at` in nanoseconds."""
         self.rows.append({"at": at, "what": what, **row})
 
     async def run(self, lines, out):
-        await say(out, {"hosts": await self.hosts.open()})
+        """Runs the day; `lines` yields the main process's messages, `out` is the stream back to it."""
+        await write_line(out, {"hosts": await self.hosts.open()})
         start = (await anext(lines))["start"]
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self.flush, out)
@@ -49,47 +56,48 @@
                 elif strike.kind == "requests-late":
                     nursery.start_soon(self.clients.play, number, strike, start)
             nursery.start_soon(self.clients.serve, nursery, start)
-            async for told in lines:
-                if told["do"] == "relay":
-                    self.clients.front.reach[told["relay"]] = Reach(told["reach"])
-                elif told["do"] == "again":
-                    self.clients.again(told["n"], told["after"], told["mark"])
-                elif told["do"] == "end":
+            async for message in lines:
+                if message["do"] == "relay":
+                    self.clients.front.reach[message["relay"]] = Reach(message["reach"])
+                elif message["do"] == "again":
+                    self.clients.again(message["n"], message["after"], message["mark"])
+                elif message["do"] == "end":
                     break
             nursery.cancel_scope.cancel()
-        await say(out, self.rows)
+        await write_line(out, self.rows)
 
     async def flush(self, out):
         while True:
-            await trio.sleep(FLUSH)
+            await trio.sleep(FLUSH_INTERVAL_S)
             rows, self.rows = self.rows, []
-            await say(out, rows)
+            await write_line(out, rows)
 
     async def tick(self):
-        """A town that comes late blames itself: what it measures of the relays is then its own."""
+        """Records when this process ran late, since the delay would otherwise be attributed to the relays."""
         while True:
-            due = self.clock() + int(TICK * 1e9)
-            await trio.sleep(TICK)
-            if (by := self.clock() - due) > LATE:
-                self.tell("late", self.clock(), by=by)
+            due = self.clock() + int(TICK_S * 1e9)
+            await trio.sleep(TICK_S)
+            if (by := self.clock() - due) > REPORTED_DELAY_NS:
+                self.record("late", self.clock(), by=by)
 
 
-async def say(out, told):
-    await out.send_all(orjson.dumps(told) + b"\n")
+async def write_line(out, value):
+    """Sends a value as a JSON line."""
+    await out.send_all(orjson.dumps(value) + b"\n")
 
 
-async def read(stream):
-    """JSON lines, one by one, until the other side ends."""
+async def read_lines(stream):
+    """Yields the values of JSON lines until the stream ends."""
     rest = b""
     while data := await stream.receive_some(1 << 16):
-        *whole, rest = (rest + data).split(b"\n")
-        for line in whole:
+        *lines, rest = (rest + data).split(b"\n")
+        for line in lines:
             yield orjson.loads(line)
 
 
 async def main():
-    lines, out = read(trio.lowlevel.FdStream(os.dup(0))), trio.lowlevel.FdStream(os.dup(1))
-    await Quarter(await anext(lines)).run(lines, out)
+    lines, out = read_lines(trio.lowlevel.FdStream(os.dup(0))), trio.lowlevel.FdStream(os.dup(1))
+    await Worker(await anext(lines)).run(lines, out)
 
 
 if __name__ == "__main__":
--- a/courseroute/town/report.py
+++ b/courseroute/town/report.py
@@ -80,7 +80,7 @@
         "about": day.about,
         "seed": day.seed,
         "relays": day.relays.count,
-        "took_s": round(result.took, 1),
+        "took_s": round(result.duration_s, 1),
         "void": judge.void,
         "late_ms": judge.max_delay // MS,
         "service": round(value / most, 4) if most else None,
@@ -93,7 +93,7 @@
             for one in judge.broken
         ],
         "relays_used": {
-            relay.name: relay.most | {"cpu_s": round(relay.cpu, 2), "lives": relay.lives}
+            relay.name: relay.peak_usage | {"cpu_s": round(relay.cpu, 2), "lives": relay.start_count}
             for relay in result.relays
         },
         "counts": dict(sorted(judge.counts.items())),
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Known failures: tests listed in KNOWN-RED.txt may fail, are printed by name, and nothing else may."""
+"""Tests listed in KNOWN-RED.txt are expected to fail and are reported by name; all others must pass."""
 
 from pathlib import Path
 
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -1,4 +1,4 @@
-"""The judge of a town: for each rule a ledger that breaks it and one that just keeps it."""
+"""The rule checker of the emulator: for each rule, ledgers that break it and ledgers that just keep it."""
 import pytest
 
 from courseroute.checked import made
@@ -19,7 +19,7 @@
 
 
 class Ledger:
-    """Rows at milliseconds; what is left out is as usual."""
+    """Builds a ledger row by row, times in milliseconds from T0, and feeds it to a Judge."""
 
     def __init__(self):
         self.judge, self.c, self.at = Judge(made(DAY, Day)), 0, 0
@@ -58,7 +58,7 @@
         return self.row("relay", ms, relay=relay, now=now, **more)
 
     def second(self, key):
-        """Another message of that key, handed in after the first."""
+        """A second message with that ordering key, submitted after the first."""
         return self.hand(5, "2-1", "turn", key, n=2).taken(6, "2-1")
 
     def later(self, ms):
@@ -189,7 +189,7 @@
     assert ledger().found() == rules
 
 
-def test_a_late_town_voids_its_verdict():
+def test_a_day_is_void_if_the_emulator_ran_too_late():
     ledger = start().row("late", 20, by=249 * MS)
     assert not ledger.judge.void and ledger.row("late", 30, by=251 * MS).judge.void
 
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of known failures names tests that exist, and is read strictly."""
+"""The list of known failures names existing tests, and malformed entries are rejected."""
 
 import re
 from pathlib import Path
@@ -18,7 +18,7 @@
 
 
 @pytest.mark.parametrize("line", ["tests/a.py::b", "a | b | c", "a | b |  | 27", "a | b | c | d | e"])
-def test_an_entry_without_all_its_fields_is_refused(line):
+def test_a_malformed_entry_is_rejected(line):
     with pytest.raises(ValueError):
         parse_entry(line)
 
@@ -28,7 +28,7 @@
     assert entry == KnownRed("t.py::t", "pytest t.py::t (no seed)", "sent twice", "27")
 
 
-# Guards against a message that reaches another test process's relay, which took the port of one that is down.
+# Guards against a message reaching the relay of another test process that reused the port of a stopped relay.
 def test_relays_of_two_test_processes_never_share_an_address(monkeypatch):
     addresses = set()
     for worker in ("gw0", "gw1", "gw11"):
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""Short seeded soaks: what may have run, among failing folders and system calls; stale lists; copies."""
+"""Short soak runs with fixed seeds: failing system calls, stale endpoint lists, duplicate answers."""
 
 from pathlib import Path
 
@@ -13,7 +13,7 @@
 SHARE_OF_CALLS = 0.005
 
 
-# Guards against a request that must not be repeated being sent again, where faults of all kinds meet.
+# Guards against sending a request again that must not be repeated, while faults of many kinds coincide.
 @pytest.mark.parametrize("seed", [1, 2])
 def test_every_rule_is_kept_while_system_calls_fail(tmp_path, monkeypatch, seed):
     monkeypatch.setenv("PYTHONPATH", f"{ROOT / 'courseroute' / 'town' / 'shims'}:{ROOT}")
@@ -24,7 +24,7 @@
     assert found["all"]["delivered"] > 0.4 * found["all"]["messages"]
 
 
-# Guards against requests to draining servers where silent watches, a crowded discovery and restarts meet.
+# Guards against requests to draining hosts while silent watches, a busy directory and restarts coincide.
 def test_every_rule_is_kept_while_lists_go_stale(tmp_path):
     day = load(ROOT / "examples" / "stale-lists.toml", seed=1, lasts="20s")
     found = figures(trio.run(play, day, tmp_path / "day"))
@@ -32,8 +32,9 @@
     assert found["all"]["delivered"] > 0.4 * found["all"]["messages"]
 
 
-# Guards against a copy of an answer counting as the answer to the next call, where faults of all kinds meet;
-# in the second day clients use open connections to a relay's end, signals come in series, crowds fill it.
+# Guards against taking a duplicate of an answer for the answer to the next call, while faults of many kinds
+# coincide. In the second day clients also use open connections until a relay ends, relays get several signals
+# in a row, and idle connections exhaust their descriptors.
 @pytest.mark.parametrize("name", ["copied-answers", "restarts-in-use"])
 def test_every_rule_is_kept_while_answers_come_twice(tmp_path, name):
     day = load(ROOT / "examples" / f"{name}.toml", seed=1, lasts="8s")
@@ -42,8 +43,8 @@
     assert found["all"]["delivered"] > 0.4 * found["all"]["messages"]
 
 
-# Guards against final answers behind their time where requests are late, calls to the platform get no answer,
-# processes are held up and folders fail.
+# Guards against late final answers while requests arrive late, calls to the platform get no answer, processes
+# are delayed and disks fail.
 def test_every_rule_is_kept_while_final_answers_are_hard_to_give(tmp_path):
     day = load(ROOT / "examples" / "late-answers.toml", seed=3, lasts="8s")
     found = figures(trio.run(play, day, tmp_path / "day"))
--- a/tests/test_town.py
+++ b/tests/test_town.py
@@ -1,4 +1,5 @@
-"""The town on sockets: what it plays, what its judge catches, and the relay under the hard instants."""
+"""The emulator on sockets: its faults, the violations that it detects, the relay where faults coincide, and
+the command line."""
 
 import itertools
 import json
@@ -23,7 +24,7 @@
 
 ROOT = Path(__file__).parent.parent
 HARD_CASES = 4
-MOST_PLAYS = 4  # in which each hard case has to come up; when calls meet is up to the machine
+MAX_RUNS = 4  # runs within which each hard case must occur; whether calls coincide depends on the machine
 LANE = {"target": "2s", "deadline": "2500ms"}
 SMALL = {
     "lasts": "3s",
@@ -106,11 +107,11 @@
     rows = [json.loads(line) for line in (tmp_path / "town/ledger.jsonl").read_text().splitlines()]
     assert [row["at"] for row in rows] == sorted(row["at"] for row in rows)
     assert sum(row["what"] == "ran" for row in rows) == found["all"]["messages"]
-    assert result.relays[0].most["memory_kb"] > 1000
+    assert result.relays[0].peak_usage["memory_kb"] > 1000
 
 
 def hard_cases(rows):
-    """Which of the hard cases the ledger shows."""
+    """The hard cases that occurred, according to the ledger."""
     at, calls, found = {}, {}, set()
     for row in rows:
         what = row["what"]
@@ -150,7 +151,7 @@
 
 @pytest.mark.parametrize("name", ["hard", "restarts", "partners"])
 def test_the_relay_keeps_every_rule_where_faults_meet(tmp_path, name):
-    """The hard cases; restarts, a stall, a lost folder, a moved directory; partners that fail each way."""
+    """Coinciding faults; restarts, a pause, a lost folder, a moved directory; partners that fail each way."""
     days = {
         "hard": [
             fault("refuse", "500ms", where="p-0"),
@@ -180,7 +181,7 @@
             fault("disk-full", where="n0", lasts="1s"),
         ],
     }
-    deadline = "7s" if name == "hard" else "4s"  # or ejected hosts are not tried again in time
+    deadline = "7s" if name == "hard" else "4s"  # less and hosts taken out of use are not retried in time
     told = {
         "relays": {"count": 3},
         "fault": days[name],
@@ -195,7 +196,7 @@
         "lanes": {lane: form | {"deadline": deadline} for lane, form in SMALL["lanes"].items()},
     }
     met = set()
-    for seed in range(1, 1 + (MOST_PLAYS if name == "hard" else 1)):
+    for seed in range(1, 1 + (MAX_RUNS if name == "hard" else 1)):
         found, result = played(tmp_path / str(seed), told | {"seed": seed})
         assert found["void"] or not found["broken"], found["broken"]
         assert found["all"]["delivered"] > 0.5 * found["all"]["messages"]
@@ -205,25 +206,25 @@
     assert name != "hard" or len(met) == HARD_CASES, met
 
 
-def test_a_town_that_stood_still_blames_itself(tmp_path):
+def test_a_day_is_void_if_an_emulator_process_was_paused(tmp_path):
     stopped = []
 
-    def watch(town, seconds):
+    def watch(emulation, seconds):
         if seconds > 1 and not stopped:
-            stopped.append(os.kill(town.workers[0].pid, signal.SIGSTOP))
-            threading.Timer(0.6, os.kill, (town.workers[0].pid, signal.SIGCONT)).start()
+            stopped.append(os.kill(emulation.workers[0].pid, signal.SIGSTOP))
+            threading.Timer(0.6, os.kill, (emulation.workers[0].pid, signal.SIGCONT)).start()
 
     day = made(SMALL, Day)
     assert trio.run(play, day, tmp_path / "town", None, watch).judge.void
 
 
-def test_a_restart_while_the_directory_is_away_goes_by_the_list_that_was_kept(tmp_path):
+def test_a_restart_during_a_directory_outage_uses_the_saved_list(tmp_path):
     faults = [fault("directory-down", "700ms", lasts="6s"), fault("kill", "1s", where="n0")]
     found, _ = played(tmp_path, {"fault": faults, "traffic": SMALL["traffic"] | {"again": 5}})
     assert found["all"]["delivered"] >= 0.9 * found["all"]["messages"] and not found["broken"]
 
 
-def test_every_day_that_is_shipped_is_good_and_they_differ():
+def test_every_example_day_is_valid_and_they_differ():
     days = [load(file) for file in sorted((ROOT / "examples").glob("*.toml"))]
     assert len(days) >= 12 and len({day.about for day in days}) == len(days)
 
@@ -263,7 +264,7 @@
         (["serve", "bad.toml"], 2, "", "bad.toml: listen: found nothing"),
     ],
 )
-def test_the_command_line_answers_plainly(tmp_path, words, code, out, err):
+def test_the_command_line_reports_results_and_errors_without_a_traceback(tmp_path, words, code, out, err):
     (tmp_path / "bad.toml").write_text(BAD)
     (tmp_path / "relay.toml").write_text(
         'name = "r1"\nlisten = "127.0.0.1:1"\ndirectory = "127.0.0.1:2"\nstate = "s"\n'
@@ -275,7 +276,7 @@
     assert "Traceback" not in told.stderr
 
 
-def test_a_day_from_the_command_line_ends_in_figures_and_its_folder_can_be_looked_into(tmp_path):
+def test_the_folder_of_an_interrupted_day_can_be_inspected_and_repaired(tmp_path):
     day = tmp_path / "day.toml"
     day.write_text(
         f'base = "{ROOT}/examples/calm.toml"\nlasts = "4s"\n[[fault]]\nkind = "shut"\n'
@@ -289,7 +290,7 @@
     )
     log = tmp_path / "kept/day/n0/state"
     seen = {}
-    for _ in range(60):  # the log of a running relay
+    for _ in range(60):  # reads the folder of a running relay
         trio.run(trio.sleep, 0.1)
         if log.exists() and list(log.glob("seg-*")):
             told = run("log", "show", log, "--json")
@@ -304,7 +305,7 @@
     config = tmp_path / "kept/day/n0/relay.toml"
     assert "good, relay n0" in run("config", "check", config).stdout
     place = tuple(tomllib.loads(config.read_text())["listen"].split(":"))
-    process.send_signal(signal.SIGTERM)  # cut off, it leaves no process behind
+    process.send_signal(signal.SIGTERM)  # interrupted, it leaves no process behind
     assert process.wait(10) != 0
     with pytest.raises(ConnectionRefusedError):
         socket.create_connection(place, timeout=1)
@@ -324,8 +325,8 @@
 """
 
 
-def test_a_soak_keeps_the_days_that_break_a_rule_and_says_how_to_play_them_again(tmp_path):
-    """Played by a stand-in: seed 1 is well, 2 breaks a rule, 3 is void, 4 can't be played."""
+def test_a_soak_keeps_the_days_that_break_a_rule_with_the_command_that_reproduces_them(tmp_path):
+    """A fake program runs the days: seed 1 keeps the rules, 2 breaks one, 3 is void, 4 fails to run."""
     day = str(ROOT / "examples" / "late-answers.toml")
     plan = Plan(
         days=(day,),
@@ -371,7 +372,7 @@
     assert json.loads(told.stdout) == [1, "failed", 1, -3600], told.stderr
 
 
-def test_the_relays_path_imports_none_of_the_tools_libraries():
+def test_the_relay_imports_no_library_of_the_command_line_tools():
     code = (
         "import sys, courseroute.__main__; print([name for name in ('click', 'rich', 'numpy', "
         "'structlog', 'psutil', 'asyncio', 'courseroute.town', 'courseroute.command') "
