--- a/courseroute/command/main.py
+++ b/courseroute/command/main.py
@@ -1,5 +1,5 @@
-"""courseroute: one command, its sub-commands. Exit codes: 0 well, 1 a broken rule, 2 a bad file or call, 3 a
-town that ran late and so says nothing."""
+"""The command `courseroute` and its sub-commands. Exit codes: 0 success, 1 a rule was broken, 2 an invalid
+file or call, 3 a void day, because the emulator itself ran late."""
 
 import os
 import shlex
@@ -25,7 +25,7 @@
 
 class Command(click.Group):
     def invoke(self, ctx):
-        """A bad file ends in one line a mistake, never in a trace."""
+        """Prints one line for each mistake of an invalid file, not a traceback, and exits with 2."""
         try:
             return super().invoke(ctx)
         except Bad as cause:
@@ -35,7 +35,7 @@
 
 @click.group(cls=Command, context_settings={"help_option_names": ["-h", "--help"]})
 def cli():
-    """Dispatches notifications to outside receivers, and plays towns that try how well."""
+    """Dispatches notifications to outside receivers, and tests this in an emulator."""
 
 
 @cli.command()
@@ -53,7 +53,7 @@
 def version_of(name):
     try:
         return metadata.version(name)
-    except metadata.PackageNotFoundError:  # run from its folder, not installed
+    except metadata.PackageNotFoundError:  # run from a checkout, not installed
         return "0.2.0" if name == "courseroute" else "missing"
 
 
@@ -104,7 +104,7 @@
 
 
 def everything(thing):
-    """A Form as a plain map, defaults too; what was left out and has no default is absent."""
+    """A Form as a plain map with its defaults; fields without a value are absent."""
     if isinstance(thing, msgspec.Struct):
         return {
             name: everything(value)
--- a/courseroute/command/show.py
+++ b/courseroute/command/show.py
@@ -1,4 +1,4 @@
-"""What people see: tables by rich on a terminal, the same as plain text where the output is piped."""
+"""Output for people: tables on a terminal, the same as plain text if the output is piped."""
 
 import contextlib
 import sys
@@ -36,7 +36,7 @@
 
 
 def day(name, told):
-    """One day's figures."""
+    """Prints the figures of one day."""
     OUT.print(
         table(
             f"{name}: {told['about']}",
@@ -74,7 +74,7 @@
 
 
 def days(found):
-    """Many days, a row each."""
+    """Prints a table of days, one row each."""
     OUT.print(
         table(
             "Days",
@@ -97,7 +97,7 @@
 
 @contextlib.contextmanager
 def live(name, quiet):
-    """A table of the destinations while the day runs, on a terminal only; None elsewhere."""
+    """Yields a callback that updates a table of the destinations while a day runs; else None."""
     if quiet or not OUT.is_terminal:
         yield None
         return
--- a/courseroute/command/soak.py
+++ b/courseroute/command/soak.py
@@ -1,4 +1,4 @@
-"""`courseroute town soak`: plays days with many seeds and sums up what they came to."""
+"""`courseroute town soak`: runs days with many seeds and prints a summary."""
 
 import sys
 import tempfile
--- a/courseroute/town/__init__.py
+++ b/courseroute/town/__init__.py
@@ -1,8 +1,8 @@
-"""The town: partners, directory, platform, front, clients and relays on loopback, played from one file.
+"""The emulator: runs destinations, directory, platform, clients and relays on loopback, set by one file.
 
-Called by the command line (`courseroute town`), the tests and, later, the laboratory. It imports the relay's
-parts and is imported by none of them. `script` reads a day, `partner` decides as a partner would, `judge`
-decides what broke a rule; these three know no socket and no clock. `quarter` is a worker process with some
-partners (`hosts`) and a share of the `clients`, `platform` the directory and the notices, `relays` the
-processes of the relays, `play` the whole day, `report` its figures.
+Called by the command line (`courseroute town`) and the tests. It imports parts of the relay; no part of the
+relay imports it. `script` reads the file of a day, `partner` models a destination and `judge` checks the
+rules; these three use no socket and no clock. `quarter` is a worker process that runs some destinations
+(`hosts`) and a share of the `clients`; `platform` is the directory and accepts notices; `relays` manages
+the relay processes; `play` runs the whole day; `report` computes its figures; `soak` runs many days.
 """
--- a/courseroute/town/report.py
+++ b/courseroute/town/report.py
@@ -1,4 +1,4 @@
-"""The figures of a day that was played: plain maps for tables, JSON and comparisons. No socket, no clock."""
+"""Statistics of a finished day, as plain maps for tables, JSON and comparisons. No socket, no clock."""
 
 import math
 from collections import Counter, defaultdict
@@ -13,21 +13,22 @@
 
 
 def by_message(judge):
-    """{n: (first id, its delivery or None, its last word)} over all ids a message had; ids that were dropped
-    count for nothing, but that an effect took place."""
+    """{n: (Message of the first id, delivery time or None, outcome)}, over all ids under which a message was
+    submitted. Abandoned ids count only if they were delivered."""
     found = {}
     for msg in judge.messages.values():
-        first, delivered, word = found.get(msg.n, (msg, None, "unanswered"))
+        first, delivered, outcome = found.get(msg.n, (msg, None, "unanswered"))
         if msg.delivered_at is not None:
             delivered = min(msg.delivered_at, delivered or msg.delivered_at)
         if msg.submitted_at < first.submitted_at:
             first = msg
-        word = last_word(msg) if last_word(msg) != "unanswered" else word
-        found[msg.n] = first, delivered, "delivered" if delivered else word
+        outcome = outcome_of(msg) if outcome_of(msg) != "unanswered" else outcome
+        found[msg.n] = first, delivered, "delivered" if delivered else outcome
     return found
 
 
-def last_word(msg):
+def outcome_of(msg):
+    """The outcome of one id that was not delivered."""
     if msg.final_answers:
         return msg.final_answers[0][0]
     if msg.rejected_at and not msg.abandoned:
@@ -36,20 +37,20 @@
 
 
 def figures(result):
-    """What a day came to, as plain values; times in milliseconds."""
+    """The statistics of a DayResult as plain values; times in milliseconds."""
     judge, day = result.judge, result.day
-    messages, names = by_message(judge), {place.number: place.name for place in destinations(day)}
+    messages, names = by_message(judge), {dst.number: dst.name for dst in destinations(day)}
     calls, refused, waits = Counter(), Counter(), defaultdict(list)
     for msg in judge.messages.values():
         calls[msg.destination] += len(msg.calls)
         refused[msg.destination] += sum(call.status in (429, 503) for call in msg.calls)
-    words, lanes = defaultdict(Counter), defaultdict(Counter)
-    value, most = 0.0, 0.0
-    for first, delivered, word in messages.values():
-        words[first.destination][word] += 1
-        lanes[first.lane][word] += 1
+    outcomes, lanes = defaultdict(Counter), defaultdict(Counter)
+    value, max_value = 0.0, 0.0
+    for first, delivered, outcome in messages.values():
+        outcomes[first.destination][outcome] += 1
+        lanes[first.lane][outcome] += 1
         lane = day.lanes[first.lane]
-        most += lane.value or 1.0
+        max_value += lane.value or 1.0
         if delivered:
             took = delivered - first.submitted_at
             waits[first.destination].append(took)
@@ -64,17 +65,17 @@
         return {
             "messages": total,
             **{
-                word: counts[word]
-                for word in ("delivered", "pushed back", "returned", "failed", "unanswered", "open")
+                outcome: counts[outcome]
+                for outcome in ("delivered", "pushed back", "returned", "failed", "unanswered", "open")
             },
             "calls_per_message": None if n_calls is None else round(n_calls / max(1, total), 3),
             "refused": n_refused,
             **quantiles(waits[key]),
         }
 
-    whole = Counter()
-    for counts in words.values():
-        whole.update(counts)
+    total_outcomes = Counter()
+    for counts in outcomes.values():
+        total_outcomes.update(counts)
     broken = Counter(one.rule for one in judge.broken)
     return {
         "about": day.about,
@@ -83,9 +84,11 @@
         "took_s": round(result.duration_s, 1),
         "void": judge.void,
         "late_ms": judge.max_delay // MS,
-        "service": round(value / most, 4) if most else None,
-        "all": row(whole, None, sum(calls.values()), sum(refused.values())),
-        "destinations": {names[dst]: row(words[dst], dst, calls[dst], refused[dst]) for dst in sorted(words)},
+        "service": round(value / max_value, 4) if max_value else None,
+        "all": row(total_outcomes, None, sum(calls.values()), sum(refused.values())),
+        "destinations": {
+            names[dst]: row(outcomes[dst], dst, calls[dst], refused[dst]) for dst in sorted(outcomes)
+        },
         "lanes": {name: row(lanes[name], name) for name in sorted(lanes)},
         "rules": {rule: broken[rule] for rule in RULES},
         "broken": [
@@ -101,7 +104,8 @@
 
 
 def quantiles(times):
+    """Median and 99th percentile of times in nanoseconds, in total_outcomes milliseconds, rounded up."""
     if not times:
         return {"p50_ms": None, "p99_ms": None}
-    half, most = np.quantile(np.array(times), (0.5, 0.99))
-    return {"p50_ms": math.ceil(half / MS), "p99_ms": math.ceil(most / MS)}
+    median, p99 = np.quantile(np.array(times), (0.5, 0.99))
+    return {"p50_ms": math.ceil(median / MS), "p99_ms": math.ceil(p99 / MS)}
--- a/courseroute/town/soak.py
+++ b/courseroute/town/soak.py
@@ -1,7 +1,7 @@
-"""A soak: days played with many seeds, some side by side; what broke a rule is kept, with its command.
+"""Runs days with many seeds, several in parallel, and keeps those that break a rule.
 
-Each day runs in a process of its own (`courseroute town run`), so that a day that fails or hangs costs no
-other one. Called by the command line: `await soak(plan, told)`.
+Each day runs in a process of its own (`courseroute town run`), so that a day that fails or hangs affects no
+other. Called by the command line: `await soak(plan, on_played)`.
 """
 
 import shlex
@@ -17,41 +17,41 @@
 
 from courseroute.town.script import load, strikes
 
-MOST_VOID = 0.05  # of all days: a soak of which more say nothing has failed
+MOST_VOID = 0.05  # of all days; a soak with more void days has failed
 KEPT, BROKEN, VOID, FAILED = "kept", "broken", "void", "failed"
 OUTCOME_OF_EXIT = {0: KEPT, 1: BROKEN, 3: VOID}
 
 
 class Plan(msgspec.Struct, frozen=True):
-    """What to play: each day's file with each seed. `folder` keeps the days that were not well."""
+    """Which days to run: each file with each seed. `folder` keeps the days that broke a rule or failed."""
 
     days: tuple[str, ...]
     seeds: range
     jobs: int
     folder: Path
-    relay: str | None = None  # another relay's command line, {seed} in it stands for the seed
-    within_s: float = 600.0  # a day that takes longer is ended and counts as failed
-    program: tuple[str, ...] = (sys.executable, "-m", "courseroute")  # that plays a day
+    relay: str | None = None  # command line of another relay; {seed} is replaced by the seed
+    within_s: float = 600.0  # a day that takes longer is killed and counts as failed
+    program: tuple[str, ...] = (sys.executable, "-m", "courseroute")  # the command that runs a day
 
 
 class Played(msgspec.Struct, frozen=True):
-    """What came of one day. `broken`: the rules broken, once each time."""
+    """The outcome of one day. `broken`: the rule of each violation."""
 
     day: str
     seed: int
     outcome: str
     broken: tuple[str, ...]
-    kinds: tuple[str, ...]  # of the faults that the day had
-    folder: str | None  # where it is kept
-    again: str  # the command that plays it again
+    kinds: tuple[str, ...]  # kinds of the day's faults
+    folder: str | None  # if the day is kept
+    again: str  # the command that repeats it
 
 
 class Summary(msgspec.Struct):
-    """Counts over all days that were played."""
+    """Totals over all days that were run."""
 
     outcomes: Counter = msgspec.field(default_factory=Counter)
     rules: Counter = msgspec.field(default_factory=Counter)
-    kinds: Counter = msgspec.field(default_factory=Counter)  # days that had such a fault and were not void
+    kinds: Counter = msgspec.field(default_factory=Counter)  # days with such a fault that were not void
     unwell: list[Played] = []
 
     def add(self, played):
@@ -63,18 +63,19 @@
             self.unwell.append(played)
 
     def is_good(self):
+        """Whether no day broke a rule or failed and few enough were void."""
         return not self.unwell and self.outcomes[VOID] <= MOST_VOID * self.outcomes.total()
 
 
-async def soak(plan, told=lambda played: None):
-    """Plays it all; the Summary. `told` hears each day as it ends."""
+async def soak(plan, on_played=lambda played: None):
+    """Runs all days and returns the Summary. `on_played` is called with each Played as its day ends."""
     summary, limiter = Summary(), trio.CapacityLimiter(plan.jobs)
 
     async def one(day, seed):
         async with limiter:
             played = await play_one(plan, day, seed)
         summary.add(played)
-        told(played)
+        on_played(played)
 
     async with trio.open_nursery() as nursery:
         for seed in plan.seeds:
@@ -84,6 +85,7 @@
 
 
 async def play_one(plan, day, seed):
+    """Runs one day in a process and returns its Played."""
     folder = plan.folder / f"{Path(day).stem}-{seed}"
     shutil.rmtree(folder, ignore_errors=True)
     arguments = ["town", "run", day, "--seed", str(seed)]
@@ -113,7 +115,7 @@
 
 
 def result_of(ended):
-    """(outcome, figures) of a process that played a day; one that says nothing, or takes too long, failed."""
+    """(outcome, figures) of a process that ran a day; without valid output, or after a timeout, it failed."""
     outcome = OUTCOME_OF_EXIT.get(ended and ended.returncode, FAILED)
     try:
         return outcome, orjson.loads(ended.stdout if outcome != FAILED else b"{}")
@@ -122,12 +124,12 @@
 
 
 def kinds_of(day, seed):
-    """The kinds of fault that a day's file has with that seed."""
+    """The kinds of the faults in a day's file with that seed."""
     return tuple(sorted({strike.kind for strike in strikes(load(day, seed=seed))}))
 
 
 def seeds_of(text):
-    """A range from "11..40" or "7"; ValueError where it is none."""
+    """A range from "11..40" or "7"; ValueError if it is malformed."""
     first, _, last = text.partition("..")
     seeds = range(int(first), int(last or first) + 1)
     if not seeds:
