--- a/courseroute/command/show.py
+++ b/courseroute/command/show.py
@@ -1,4 +1,4 @@
-"""What people see: tables by rich on a terminal, the same as plain text where the output is piped."""
+"""Output for people: tables on a terminal, the same as plain text if the output is piped."""
 
 import contextlib
 import sys
@@ -36,7 +36,7 @@
 
 
 def day(name, told):
-    """One day's figures."""
+    """Prints the figures of one day."""
     OUT.print(
         table(
             f"{name}: {told['about']}",
@@ -74,7 +74,7 @@
 
 
 def days(found):
-    """Many days, a row each."""
+    """Prints a table of days, one row each."""
     OUT.print(
         table(
             "Days",
@@ -97,25 +97,25 @@
 
 @contextlib.contextmanager
 def live(name, quiet):
-    """A table of the destinations while the day runs, on a terminal only; None elsewhere."""
+    """Yields a callback that updates a table of the destinations while a day runs; else None."""
     if quiet or not OUT.is_terminal:
         yield None
         return
     with Live(console=OUT, refresh_per_second=4, transient=True) as screen:
-        yield lambda town, seconds: screen.update(running(town, name, seconds))
+        yield lambda emulation, seconds: screen.update(running(emulation, name, seconds))
 
 
-def running(town, name, seconds):
-    rows = {place.number: [place.name, 0, 0, 0, 0] for place in town.places}
-    for msg in town.judge.messages.values():
-        row = rows[msg.dst]
+def running(emulation, name, seconds):
+    rows = {destination.number: [destination.name, 0, 0, 0, 0] for destination in emulation.destinations}
+    for msg in emulation.judge.messages.values():
+        row = rows[msg.destination]
         row[1] += 1
-        row[2] += msg.delivered is not None
-        row[3] += msg.taken is not None and msg.over_at is None
+        row[2] += msg.delivered_at is not None
+        row[3] += msg.accepted_at is not None and msg.closed_at is None
         row[4] += sum(call.status in (429, 503) for call in msg.calls)
-    late = ", town late" if town.judge.void else ""
+    late = ", town late" if emulation.judge.void else ""
     return table(
-        f"{name}, {seconds:.1f} s, {len(town.judge.broken)} broken rules{late}",
+        f"{name}, {seconds:.1f} s, {len(emulation.judge.broken)} broken rules{late}",
         ["destination", "ids", "delivered", "open", "refused"],
         rows.values(),
     )
