--- a/courseroute/town/hosts.py
+++ b/courseroute/town/hosts.py
@@ -1,7 +1,8 @@
-"""The partners' hosts on sockets: each relay reaches each host at an address of its own.
+"""Emulated destination hosts on loopback sockets. Each relay reaches each host at a separate address.
 
-Called by `quarter`, once a worker. What a host does with a call `partner.Partner` decides; here it is carried
-out, and the ledger told. A host that refuses connections closes its listeners, a silent one reads nothing.
+Each worker process (`quarter`) runs one `Hosts`. `partner.Partner` decides how a host handles a call; this
+module performs it on the sockets and records it in the ledger. A host that refusing connections closes its
+listeners; a silent one stops reading.
 """
 
 import contextlib
@@ -19,7 +20,7 @@
 from courseroute.wire.http import Door, Refused
 
 HEAD, BODY = 16 << 10, 64 << 10
-SPOILT = (
+MALFORMED_RESPONSES = (
     b"\0\1noise",
     b"HTTP/1.1 503 Full\r\nno colon\r\n\r\n",
     b"HTTP/1.1 500 No\r\nX-Endless: " + b"x" * 40000,
@@ -27,74 +28,78 @@
     b"HTTP/1.1 503 Full\r\nContent-Length: 9\r\n\r\nx",
 )
 LOST = (OSError, trio.BrokenResourceError, trio.ClosedResourceError)
-LINGER = struct.pack("ii", 1, 0)
-GONE_AFTER = 8 * S  # a host that left stands for so long, for calls on their way
+# SO_LINGER with a timeout of 0: close() sends a reset instead of an orderly shutdown.
+LINGER_ZERO = struct.pack("ii", 1, 0)
+LEFT_HOST_GRACE_NS = 8 * S  # a host that left still serves calls in flight for this long
 
 
 def abort(sock):
-    """Ends a connection with a reset."""
+    """Closes the connection with a TCP reset."""
     try:
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER)
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_ZERO)
     except OSError:
         pass
     sock.close()
 
 
-class Entrance:
-    """One host as one relay reaches it."""
+class HostEndpoint:
+    """The listener through which one relay reaches one host."""
 
     def __init__(self, host, relay, number):
         self.host, self.relay = host, relay
-        self.place = (f"127.{20 + relay}.{number % 250}.{host.place.index + 1}", 0)
+        self.address = (f"127.{20 + relay}.{number % 250}.{host.place.index + 1}", 0)
         self.listener = None
         self.scope = trio.CancelScope()
 
     async def bind(self):
+        """Opens the listener; binds the same port again after a close."""
         self.listener = trio.socket.socket()
         self.listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        await self.listener.bind(self.place)
-        self.place = self.listener.getsockname()
+        await self.listener.bind(self.address)
+        self.address = self.listener.getsockname()
         self.listener.listen(512)
 
 
 class Hosts:
+    """All hosts of one worker process, with their listeners, connections and faults."""
+
     def __init__(self, day, places, clock, tell):
         self.day, self.clock, self.tell = day, clock, tell
-        self.partners, self.doors, self.calls = [], [], 0
+        self.partners, self.endpoints, self.calls = [], [], 0
         for place in places:
             draw = np.random.default_rng([day.seed, 2, place.number])
             partner = Partner(place, day.rules, draw)
             self.partners.append(partner)
             for host in partner.hosts.values():
-                host.open, host.socks, host.refuses, host.wakes = 0, {}, False, trio.Event()
-                self.doors += [
-                    (partner, Entrance(host, relay, place.number)) for relay in range(day.relays.count)
+                host.open, host.sockets, host.refusing, host.accepting_again = 0, {}, False, trio.Event()
+                self.endpoints += [
+                    (partner, HostEndpoint(host, relay, place.number)) for relay in range(day.relays.count)
                 ]
 
     async def open(self):
-        """{host: [address for each relay]}"""
+        """Binds all listeners. Returns {host name: [[ip, port] for each relay]}."""
         found = {}
-        for _, door in self.doors:
-            await door.bind()
-            found.setdefault(door.host.name, []).append(list(door.place))
+        for _, endpoint in self.endpoints:
+            await endpoint.bind()
+            found.setdefault(endpoint.host.name, []).append(list(endpoint.address))
         return found
 
     async def serve(self, nursery):
         self.nursery = nursery
-        for partner, door in self.doors:
-            nursery.start_soon(self.accept, nursery, partner, door)
+        for partner, endpoint in self.endpoints:
+            nursery.start_soon(self.accept, nursery, partner, endpoint)
 
-    async def accept(self, nursery, partner, door):
+    async def accept(self, nursery, partner, endpoint):
         while True:
-            while door.host.refuses:
-                await door.host.wakes.wait()
-            if door.listener is None:
-                await door.bind()
+            while endpoint.host.refusing:
+                await endpoint.host.accepting_again.wait()
+            if endpoint.listener is None:
+                await endpoint.bind()
             try:
-                with trio.CancelScope() as door.scope:
+                with trio.CancelScope() as endpoint.scope:
                     while True:
-                        sock, _ = await door.listener.accept()
-                        nursery.start_soon(self.connection, partner, door, sock)
+                        sock, _ = await endpoint.listener.accept()
+                        nursery.start_soon(self.connection, partner, endpoint, sock)
             except OSError as cause:
                 if cause.errno not in (errno.EBADF, errno.EMFILE, errno.ENFILE):
                     raise
@@ -102,51 +107,51 @@
             except trio.ClosedResourceError:
                 pass
 
-    async def connection(self, partner, door, sock):
-        host = door.host
+    async def connection(self, partner, endpoint, sock):
+        host = endpoint.host
         if host.open >= partner.form.connections:
             return abort(sock)
         host.open += 1
-        host.socks[sock] = None
+        host.sockets[sock] = None
         try:
-            await self.talk(partner, door, sock)
+            await self.serve_connection(partner, endpoint, sock)
         except (*LOST, Refused, EOFError):
             pass
         finally:
             host.open -= 1
-            host.socks.pop(sock, None)
+            host.sockets.pop(sock, None)
             sock.close()
 
-    async def talk(self, partner, door, sock):
-        stream, machine, began, fresh = trio.SocketStream(sock), Door(HEAD, BODY), None, True
-        host, idle = door.host, span(partner.form.idle_close) / 1e9
+    async def serve_connection(self, partner, endpoint, sock):
+        stream, parser, began, fresh = trio.SocketStream(sock), Door(HEAD, BODY), None, True
+        host, idle = endpoint.host, span(partner.form.idle_close) / 1e9
         while True:
-            request = machine.next()
+            request = parser.next()
             if request is None:
                 with trio.move_on_after(idle if began is None else 1e9) as scope:
                     data = await stream.receive_some(BODY)
                 if scope.cancelled_caught:
                     return
                 began = began or self.clock()
-                if data and partner.struck(host, "silent"):
-                    partner.saw_fail(door.relay)
-                    return await self.hold(sock)
-                if data and partner.hit(host, "reset-before"):
-                    partner.saw_fail(door.relay)
+                if data and partner.active_fault(host, "silent"):
+                    partner.record_failure(endpoint.relay)
+                    return await self.hold_unread(sock)
+                if data and partner.draw_fault(host, "reset-before"):
+                    partner.record_failure(endpoint.relay)
                     return abort(sock)
-                machine.feed(data)
+                parser.feed(data)
                 continue
-            if not await self.call(partner, door, sock, stream, machine, request, began, fresh):
+            if not await self.call(partner, endpoint, sock, stream, parser, request, began, fresh):
                 return
             began, fresh = None, False
 
-    async def call(self, partner, door, sock, stream, machine, request, began, fresh):
-        """One whole call; whether its connection goes on."""
+    async def call(self, partner, endpoint, sock, stream, parser, request, began, fresh):
+        """Handles one complete call. Returns whether the connection stays open."""
         self.calls += 1
-        host, relay, c = door.host, f"n{door.relay}", f"{partner.place.number}.{self.calls}"
+        host, relay, c = endpoint.host, f"n{endpoint.relay}", f"{partner.place.number}.{self.calls}"
         now, mark = self.clock(), request.headers.get("idempotency-key", "")
         body, name = bytes(request.body), request.headers.get("x-request-id", "")
-        host.socks[sock] = c
+        host.sockets[sock] = c
         self.tell(
             "call",
             now,
@@ -154,72 +159,78 @@
             id=name,
             relay=relay,
             host=host.name,
-            name=host.name_now,
+            name=host.current_name,
             mark=mark,
             dst=partner.place.number,
             began=began,
             same=body == body_of(mark, len(body)),
         )
-        if partner.fallen_until and now >= partner.fallen_until:
-            partner.stand_up(now)
-        verdict = partner.arrive(now, host.name, door.relay, mark)
-        if verdict.cause == "fell over":
-            load, known = partner.fell()
+        if partner.overloaded_until and now >= partner.overloaded_until:
+            partner.recover(now)
+        outcome = partner.arrive(now, host.name, endpoint.relay, mark)
+        if outcome.cause == "fell over":
+            load, known = partner.record_overload()
             self.tell("fell", now, dst=partner.place.name, load=load, known=known)
-        after = verdict.after + (span(partner.form.handshake) if fresh else 0)
+        after = outcome.after + (span(partner.form.handshake) if fresh else 0)
         due = now + after
-        here = await self.still_there(sock, None if verdict.how == "silent" and not verdict.ran else after)
-        if not here:
+        connected = await self.stays_connected(
+            sock, None if outcome.failure == "silent" and not outcome.ran else after
+        )
+        if not connected:
             self.tell("broke", self.clock(), c=c, by="relay")
             await trio.sleep(max(0, due - self.clock()) / 1e9)
-        if verdict.ran:  # also for a caller that has gone: it has the call
+        if outcome.ran:  # also if the caller has disconnected: the host has received the call
             self.tell("ran", self.clock(), c=c, id=name, mark=mark, host=host.name)
-        if not here:
+        if not connected:
             return False
-        if verdict.how:
-            return await self.spoil(sock, stream, verdict, c)
-        headers = [("Wait-Ms", str(-(-verdict.wait // 1_000_000)))] if verdict.wait else []
+        if outcome.failure:
+            return await self.fail_call(sock, stream, outcome, c)
+        headers = [("Wait-Ms", str(-(-outcome.wait // 1_000_000)))] if outcome.wait else []
         if report := partner.load_report(self.clock()):
             headers.append(("X-Load", f"T x0={report[0]}, x1={report[1]}"))
         self.tell(
             "reply",
             self.clock(),
             c=c,
-            status=verdict.status,
-            wait=verdict.wait,
+            status=outcome.status,
+            wait=outcome.wait,
             relay=relay,
             dst=partner.place.number,
-            name=host.name_now,
-            cause=verdict.cause,
+            name=host.current_name,
+            cause=outcome.cause,
         )
-        host.socks[sock] = None
-        answer = machine.answer(verdict.status, headers, c.encode() if verdict.status == 200 else b"")
+        host.sockets[sock] = None
+        answer = parser.answer(outcome.status, headers, c.encode() if outcome.status == 200 else b"")
         await stream.send_all(answer)
-        if copied := partner.hit(host, "answer-copied"):
+        if copied := partner.draw_fault(host, "answer-copied"):
             self.nursery.start_soon(self.copy_answer, sock, answer, c, span(copied.fault.by))
-        return not machine.over
+        return not parser.over
 
     async def copy_answer(self, sock, answer, c, after):
-        """Writes an answer once more, `after` nanoseconds later, whatever waits on the connection by then."""
+        """Sends the response a second time after `after` nanoseconds, whatever the connection waits for."""
         await trio.sleep(after / 1e9)
         with contextlib.suppress(*LOST):
             await sock.send(answer)
             self.tell("copied", self.clock(), c=c)
 
-    async def spoil(self, sock, stream, verdict, c):
-        if verdict.how == "spoilt":
-            noise = SPOILT[self.calls % len(SPOILT)]
+    async def fail_call(self, sock, stream, outcome, c):
+        """Ends a call without a valid response: malformed bytes, silence or a reset."""
+        if outcome.failure == "spoilt":
+            malformed = MALFORMED_RESPONSES[self.calls % len(MALFORMED_RESPONSES)]
             with trio.move_on_after(1):
-                await stream.send_all(noise)
-        if verdict.how != "reset":
-            await self.still_there(sock, None)
-        self.tell("broke", self.clock(), c=c, by="host" if verdict.how == "reset" else "relay")
+                await stream.send_all(malformed)
+        if outcome.failure != "reset":
+            await self.stays_connected(sock, None)
+        self.tell("broke", self.clock(), c=c, by="host" if outcome.failure == "reset" else "relay")
         abort(sock)
         return False
 
-    async def still_there(self, sock, ns):
-        """Waits so long (None: for ever); False once the relay ended the connection: it sends one call at a
-        time, so whatever can be read is its end. ClosedResourceError where a fault reset it meanwhile."""
+    async def stays_connected(self, sock, ns):
+        """Waits `ns` nanoseconds (None: no limit). Returns False as soon as the relay closes the connection.
+
+        A relay sends one call at a time, so readable input means that the connection was closed. Raises
+        ClosedResourceError if a fault has reset the connection meanwhile.
+        """
         if sock.fileno() < 0:
             raise trio.ClosedResourceError
         with trio.move_on_after(1e9 if ns is None else ns / 1e9):
@@ -227,73 +238,73 @@
             return False
         return True
 
-    async def hold(self, sock):
-        """A connection that nobody reads: until the relay ends it, or the end of the fault resets it."""
+    async def hold_unread(self, sock):
+        """Leaves the connection unread until the relay closes it or the end of the fault resets it."""
         while sock.fileno() >= 0 and not gone(sock):
             await trio.sleep(0.1)
 
     # Faults.
 
-    async def play(self, number, strike, start):
-        """One fault at the hosts of this worker, from its beginning to its end."""
-        struck = [
+    async def play(self, number, scheduled, start):
+        """Runs one scheduled fault on the hosts of this worker, from begin to end."""
+        affected = [
             (partner, host)
             for partner in self.partners
             for host in partner.hosts.values()
-            if host.name in strike.names or partner.place.name in strike.names
+            if host.name in scheduled.names or partner.place.name in scheduled.names
         ]
-        if not struck:
+        if not affected:
             return
-        await self.until(start + strike.begin)
-        for partner in {id(partner): partner for partner, _ in struck}.values():
-            partner.begin(self.clock(), number, strike)
-        for _, host in struck:
-            self.strike(host, strike)
-        if strike.kind == "leave":
-            await self.until(start + strike.begin + GONE_AFTER)
-            for _, host in struck:
+        await self.sleep_until(start + scheduled.begin)
+        for partner in {id(partner): partner for partner, _ in affected}.values():
+            partner.begin(self.clock(), number, scheduled)
+        for _, host in affected:
+            self.begin_fault(host, scheduled)
+        if scheduled.kind == "leave":
+            await self.sleep_until(start + scheduled.begin + LEFT_HOST_GRACE_NS)
+            for _, host in affected:
                 host.gone = True
-        if strike.end > strike.begin:
-            await self.until(start + strike.end)
-            for partner in {id(partner): partner for partner, _ in struck}.values():
+        if scheduled.end > scheduled.begin:
+            await self.sleep_until(start + scheduled.end)
+            for partner in {id(partner): partner for partner, _ in affected}.values():
                 partner.finish(self.clock(), number)
-            for _, host in struck:
-                self.relieve(host, strike)
-
-    def strike(self, host, strike):
-        if strike.kind == "refuse":
-            host.refuses = True
-            for _, door in self.doors:
-                if door.host is host:
-                    door.scope.cancel()
-                    if door.listener is not None:
-                        door.listener.close()
-                        door.listener = None
-            self.reset_all(host)
-        elif strike.kind == "replace":
-            host.name_now = f"{host.name}+{int(strike.begin)}"
-            self.reset_all(host)
-
-    def relieve(self, host, strike):
-        if strike.kind == "refuse":
-            host.refuses = False
-            host.wakes.set()
-            host.wakes = trio.Event()
-        elif strike.kind in ("silent", "hang"):
-            self.reset_all(host)
-
-    def reset_all(self, host):
-        for sock, c in list(host.socks.items()):
+            for _, host in affected:
+                self.end_fault(host, scheduled)
+
+    def begin_fault(self, host, scheduled):
+        if scheduled.kind == "refuse":
+            host.refusing = True
+            for _, endpoint in self.endpoints:
+                if endpoint.host is host:
+                    endpoint.scope.cancel()
+                    if endpoint.listener is not None:
+                        endpoint.listener.close()
+                        endpoint.listener = None
+            self.reset_connections(host)
+        elif scheduled.kind == "replace":
+            host.current_name = f"{host.name}+{int(scheduled.begin)}"
+            self.reset_connections(host)
+
+    def end_fault(self, host, scheduled):
+        if scheduled.kind == "refuse":
+            host.refusing = False
+            host.accepting_again.set()
+            host.accepting_again = trio.Event()
+        elif scheduled.kind in ("silent", "hang"):
+            self.reset_connections(host)
+
+    def reset_connections(self, host):
+        for sock, c in list(host.sockets.items()):
             if c is not None:
                 self.tell("broke", self.clock(), c=c, by="host")
-                host.socks[sock] = None
+                host.sockets[sock] = None
             abort(sock)
 
-    async def until(self, at):
+    async def sleep_until(self, at):
         await trio.sleep(max(0, at - self.clock()) / 1e9)
 
 
 def body_of(mark, size):
-    """What a message with this mark carries: known to the host without being told."""
+    """The body of a message with this idempotency key; the host recomputes it to check the body received."""
     text = mark.encode() or b"-"
     return (text * (size // len(text) + 1))[:size]
--- a/courseroute/town/partner.py
+++ b/courseroute/town/partner.py
@@ -1,7 +1,7 @@
-"""What a partner does with a call: limits, queues, repeated keys, cold returns, faults. No socket, no clock.
+"""Model of a destination: rate limits, queues, idempotency keys, recovery after outages, faults.
 
-One Partner a destination. The caller hands in `now` (nanoseconds) and gets a Verdict; the sockets
-(`town.quarter`) carry it out, and a model in simulated time can use the same.
+One Partner per destination. It uses neither sockets nor a clock: the caller passes `now` (nanoseconds) and
+gets a CallOutcome. `town.hosts` performs it on sockets; a model in simulated time can use it as well.
 """
 
 import heapq
@@ -12,136 +12,160 @@
 from courseroute.town.script import OUTAGES
 
 S = 1_000_000_000
-SLACK = 2.0  # beyond the budget, for chance: so many times its root
+BUDGET_DEVIATIONS = 2.0  # tolerance above the budget for random arrivals, in square roots of the budget
 
 
-class Verdict(NamedTuple):
-    """`status` 0: no answer. `after`: nanoseconds until it is written. `ran`: the message takes effect."""
+class CallOutcome(NamedTuple):
+    """How a host handles one call.
+
+    `status`: HTTP status, 0 for no response. `after`: nanoseconds until the response is sent. `ran`: whether
+    the message takes effect. `wait`: nanoseconds that the response asks the caller to wait.
+    """
 
     status: int
     after: int = 0
     ran: bool = False
     wait: int = 0
-    how: str = ""  # reset, spoilt, silent, else an answer as it should be
+    failure: str = ""  # reset, spoilt or silent; empty for a valid response
     cause: str = ""
 
 
 class HostState:
+    """Runtime state of one host of a destination."""
+
     def __init__(self, place):
         self.place, self.name = place, place.name
-        self.ends = []  # when the calls it serves are done, a heap
+        self.completions = []  # heap of the times (ns) at which its calls in service complete
         self.leaving = self.gone = False
-        self.name_now = place.name  # another one after it was replaced
+        self.current_name = place.name  # changes when the host is replaced
 
 
 class Partner:
-    def __init__(self, place, rules, draw):
-        """`draw`: a seeded numpy Generator of this partner's own."""
-        self.place, self.form, self.draw = place, place.form, draw
+    """State and behaviour of one destination and its hosts."""
+
+    def __init__(self, place, rules, rng):
+        """`rng`: a seeded numpy Generator used by this destination alone."""
+        self.place, self.form, self.rng = place, place.form, rng
         self.hosts = {host.name: HostState(host) for host in place.hosts}
         self.pace, self.window = span(place.form.pace), span(place.form.window)
         self.remembers = span(place.form.remembers)
         self.cold, self.cold_from = span(rules.cold) or 0, rules.cold_from or 1.0
         self.overload, self.fall = rules.overload or 0.0, span(rules.fall) or 0
-        self.recent = deque()  # (time, relay) of the calls in its window while it is cold
-        self.counted = deque()  # times that used the limit up
-        self.keys = {}  # key -> when it first took effect
-        self.active = {}  # number -> Strike, those that hold now
-        self.outage = None  # since when all its hosts were out
-        self.warm_from = None  # the outage's end
-        self.fallen_until, self.stays_down = 0, span(place.form.stays_down)
-        self.knowing = set()  # relays that saw a call fail in the last outage
+        self.recent_calls = deque()  # (time, relay) of the calls in the overload window during recovery
+        self.counted_calls = deque()  # times of the calls that count towards the rate limit
+        self.keys = {}  # idempotency key -> time of its first effect
+        self.active = {}  # number -> Strike, the faults in effect
+        self.outage_since = None  # start of the outage of all its hosts, None outside an outage
+        self.recovering_since = None  # end of the last outage; None if it has not ended or there was none
+        self.overloaded_until, self.stays_down = 0, span(place.form.stays_down)
+        self.aware_relays = set()  # relays that had a call fail in the last outage
         self.report = None
 
     # Faults.
 
-    def begin(self, now, number, strike):
-        self.active[number] = strike
-        if strike.kind in OUTAGES and self.place.name in strike.names and self.outage is None:
-            self.outage, self.warm_from, self.knowing = now, None, set()
+    def begin(self, now, number, scheduled):
+        """Puts a scheduled fault into effect."""
+        self.active[number] = scheduled
+        if scheduled.kind in OUTAGES and self.place.name in scheduled.names and self.outage_since is None:
+            self.outage_since, self.recovering_since, self.aware_relays = now, None, set()
 
     def finish(self, now, number):
-        strike = self.active.pop(number)
+        """Ends a scheduled fault, and the outage if no other fault prolongs it."""
+        scheduled = self.active.pop(number)
         if (
-            strike.kind in OUTAGES
-            and self.outage is not None
+            scheduled.kind in OUTAGES
+            and self.outage_since is not None
             and not any(
                 other.kind in OUTAGES and self.place.name in other.names for other in self.active.values()
             )
         ):
-            self.outage, self.warm_from = None, now
+            self.outage_since, self.recovering_since = None, now
 
-    def struck(self, host, *kinds):
+    def active_fault(self, host, *kinds):
+        """The first fault of these kinds in effect at the host, or None."""
         return next(
-            (one for one in self.active.values() if one.kind in kinds and host.name in one.names), None
+            (
+                scheduled
+                for scheduled in self.active.values()
+                if scheduled.kind in kinds and host.name in scheduled.names
+            ),
+            None,
         )
 
-    def hit(self, host, kind):
-        one = self.struck(host, kind)
-        return one if one and (one.fault.share >= 1 or self.draw.random() < one.fault.share) else None
+    def draw_fault(self, host, kind):
+        """The fault of this kind that affects this call, drawn by the fault's share, or None."""
+        scheduled = self.active_fault(host, kind)
+        return (
+            scheduled
+            if scheduled and (scheduled.fault.share >= 1 or self.rng.random() < scheduled.fault.share)
+            else None
+        )
 
-    # A call.
+    # Calls.
 
-    def saw_fail(self, relay):
-        """A connection or a call of this relay failed while the destination was out."""
-        if self.outage is not None:
-            self.knowing.add(relay)
+    def record_failure(self, relay):
+        """Notes that a connection or call of this relay failed, if the destination is in an outage."""
+        if self.outage_since is not None:
+            self.aware_relays.add(relay)
 
     def arrive(self, now, host_name, relay, key):
-        """One whole call; its Verdict."""
+        """Handles one complete call and returns its CallOutcome."""
         host = self.hosts[host_name]
-        verdict = self.decide(now, host, relay, key)
-        if verdict.status != 200 or verdict.how:
-            self.saw_fail(relay)
-        if verdict.ran and key and key not in self.keys:
-            self.keys[key] = now + verdict.after
-        return verdict
+        outcome = self.decide(now, host, relay, key)
+        if outcome.status != 200 or outcome.failure:
+            self.record_failure(relay)
+        if outcome.ran and key and key not in self.keys:
+            self.keys[key] = now + outcome.after
+        return outcome
 
     def decide(self, now, host, relay, key):
-        if self.hit(host, "silent") or self.hit(host, "hang"):
-            return Verdict(0, how="silent", cause="silent")
-        if self.hit(host, "reset-before"):
-            return Verdict(0, how="reset", cause="reset before it was read")
-        if now < self.fallen_until or self.hit(host, "shut"):
-            return Verdict(503, cause="fallen over" if now < self.fallen_until else "shut")
+        if self.draw_fault(host, "silent") or self.draw_fault(host, "hang"):
+            return CallOutcome(0, failure="silent", cause="silent")
+        if self.draw_fault(host, "reset-before"):
+            return CallOutcome(0, failure="reset", cause="reset before it was read")
+        if now < self.overloaded_until or self.draw_fault(host, "shut"):
+            return CallOutcome(503, cause="fallen over" if now < self.overloaded_until else "shut")
         if host.gone or host.leaving:
-            return Verdict(503, cause="draining")
-        if self.falls_over(now, relay):
-            return Verdict(503, cause="fell over")
+            return CallOutcome(503, cause="draining")
+        if self.overloads(now, relay):
+            return CallOutcome(503, cause="fell over")
         if not self.within_limit(now):
-            return Verdict(429, wait=span(self.form.wait) or 0, cause="above the limit")
+            return CallOutcome(429, wait=span(self.form.wait) or 0, cause="above the limit")
         return self.serve(now, host, key)
 
     def serve(self, now, host, key):
-        while host.ends and host.ends[0] <= now:
-            heapq.heappop(host.ends)
-        if len(host.ends) >= self.form.concurrency + self.form.queue:
-            return Verdict(503, cause="queue full")
-        known = self.known(now, key)
-        took = int(self.pace * float(self.draw.lognormal(0, self.form.spread)))
-        if slow := self.struck(host, "slow"):
-            took = int(took * slow.fault.factor)
-        busy = len(host.ends) >= self.form.concurrency
-        begin = sorted(host.ends)[-self.form.concurrency] if busy else now
-        done = begin + took
-        heapq.heappush(host.ends, done)
+        while host.completions and host.completions[0] <= now:
+            heapq.heappop(host.completions)
+        if len(host.completions) >= self.form.concurrency + self.form.queue:
+            return CallOutcome(503, cause="queue full")
+        repeat = self.is_repeat(now, key)
+        service_time = int(self.pace * float(self.rng.lognormal(0, self.form.spread)))
+        if slow := self.active_fault(host, "slow"):
+            service_time = int(service_time * slow.fault.factor)
+        busy = len(host.completions) >= self.form.concurrency
+        begin = sorted(host.completions)[-self.form.concurrency] if busy else now
+        done = begin + service_time
+        heapq.heappush(host.completions, done)
         after = done - now
-        ran = not known
-        if fault := self.hit(host, "errors"):
-            return Verdict(500, after, ran and self.ran(fault), cause="error")
-        if fault := self.hit(host, "reset-after"):
-            return Verdict(0, after, ran and self.ran(fault), how="reset", cause="reset behind the call")
-        if self.hit(host, "answer-lost"):
-            return Verdict(0, after, ran, how="silent", cause="answer lost")
-        if self.hit(host, "spoilt"):
-            return Verdict(0, after, ran, how="spoilt", cause="spoilt answer")
-        return Verdict(200, after, ran, cause="repeat" if known else "")
-
-    def ran(self, strike):
-        return strike.fault.ran if strike.fault.ran is not None else bool(self.draw.random() < 0.5)
-
-    def known(self, now, key):
-        """Whether a repeat of this key is dropped; forgotten `remembers` after its effect."""
+        ran = not repeat
+        if fault := self.draw_fault(host, "errors"):
+            return CallOutcome(500, after, ran and self.draw_effect(fault), cause="error")
+        if fault := self.draw_fault(host, "reset-after"):
+            return CallOutcome(
+                0, after, ran and self.draw_effect(fault), failure="reset", cause="reset behind the call"
+            )
+        if self.draw_fault(host, "answer-lost"):
+            return CallOutcome(0, after, ran, failure="silent", cause="answer lost")
+        if self.draw_fault(host, "spoilt"):
+            return CallOutcome(0, after, ran, failure="spoilt", cause="spoilt answer")
+        return CallOutcome(200, after, ran, cause="repeat" if repeat else "")
+
+    def draw_effect(self, scheduled):
+        """Whether a call that fails took effect: as the fault says, else with probability 0.5."""
+        return scheduled.fault.ran if scheduled.fault.ran is not None else bool(self.rng.random() < 0.5)
+
+    def is_repeat(self, now, key):
+        """Whether a call with this key is dropped as a repeat. Keys expire `remembers` after their effect."""
         for old in [old for old, at in self.keys.items() if now >= at + self.remembers]:
             del self.keys[old]
         return key in self.keys
@@ -149,85 +173,92 @@
     # Limits.
 
     def limit(self):
-        """Calls a second that are let through now; None where there is no limit."""
+        """The current rate limit in calls per second, or None without a limit."""
         if self.form.limit is None:
             return None
         factor = next(
             (
-                one.fault.factor
-                for one in self.active.values()
-                if one.kind == "limit" and self.place.name in one.names
+                scheduled.fault.factor
+                for scheduled in self.active.values()
+                if scheduled.kind == "limit" and self.place.name in scheduled.names
             ),
             1.0,
         )
         return self.form.limit * factor
 
     def within_limit(self, now):
+        """Whether the rate limit admits a call now; counts the call if the limit does so."""
         limit = self.limit()
         if limit is None:
             return True
         since = now // self.window * self.window if self.form.aligned else now - self.window
-        since += not self.form.aligned  # what is just a window old counts no more
-        while self.counted and self.counted[0] < since:
-            self.counted.popleft()
-        fits = len(self.counted) < max(1.0, limit * self.window / S)
+        since += not self.form.aligned  # a call exactly one window old no longer counts
+        while self.counted_calls and self.counted_calls[0] < since:
+            self.counted_calls.popleft()
+        fits = len(self.counted_calls) < max(1.0, limit * self.window / S)
         if fits or self.form.refused_count:
-            self.counted.append(now)
+            self.counted_calls.append(now)
         return fits
 
     def load_report(self, now):
-        """(share left, limit) as an answer tells it; a frozen one stays as it was."""
+        """(remaining share, limit) for a response, or None. Paused reports repeat the last values."""
         if not self.form.reports or self.form.limit is None:
             return None
         if self.report and any(
-            one.kind == "pause-reports" and self.place.name in one.names for one in self.active.values()
+            scheduled.kind == "pause-reports" and self.place.name in scheduled.names
+            for scheduled in self.active.values()
         ):
             return self.report
         limit = self.limit()
         told = next(
             (
-                one.fault.told
-                for one in self.active.values()
-                if one.kind == "limit" and one.fault.told and self.place.name in one.names
+                scheduled.fault.told
+                for scheduled in self.active.values()
+                if scheduled.kind == "limit" and scheduled.fault.told and self.place.name in scheduled.names
             ),
             1.0,
         )
-        left = max(0.0, 1 - len(self.counted) / max(1.0, limit * self.window / S))
+        left = max(0.0, 1 - len(self.counted_calls) / max(1.0, limit * self.window / S))
         self.report = round(left, 3), round(limit * told, 3)
         return self.report
 
-    # Cold returns.
+    # Recovery after an outage.
 
-    def falls_over(self, now, relay):
-        """Whether this call is one too many for a destination that has just come back."""
-        if self.warm_from is None or not self.overload or now >= self.warm_from + self.cold:
+    def overloads(self, now, relay):
+        """Whether this call overloads a destination that is recovering from an outage."""
+        if self.recovering_since is None or not self.overload or now >= self.recovering_since + self.cold:
             return False
-        while self.recent and self.recent[0][0] <= now - self.fall:
-            self.recent.popleft()
-        self.recent.append((now, relay))
-        since = now - self.warm_from
+        while self.recent_calls and self.recent_calls[0][0] <= now - self.fall:
+            self.recent_calls.popleft()
+        self.recent_calls.append((now, relay))
+        since = now - self.recovering_since
         share = self.cold_from + (1 - self.cold_from) * since / max(1, self.cold)
         budget = self.overload * share * self.capacity() * self.fall / S
-        if len(self.recent) <= budget + SLACK * budget**0.5 + 1:
+        if len(self.recent_calls) <= budget + BUDGET_DEVIATIONS * budget**0.5 + 1:
             return False
-        self.fallen_until = now + self.stays_down
+        self.overloaded_until = now + self.stays_down
         return True
 
-    def fell(self):
-        """(calls that pushed it over, those by relays that had seen the outage); the fall is one too."""
-        load = len(self.recent)
-        known = sum(relay in self.knowing for _, relay in self.recent)
-        self.recent.clear()
-        self.outage, self.warm_from = self.fallen_until - self.stays_down, None
+    def record_overload(self):
+        """Starts the outage that an overload causes.
+
+        Returns (calls in the overload window, calls among them by relays that saw the previous outage).
+        """
+        load = len(self.recent_calls)
+        known = sum(relay in self.aware_relays for _, relay in self.recent_calls)
+        self.recent_calls.clear()
+        self.outage_since, self.recovering_since = self.overloaded_until - self.stays_down, None
         return load, known
 
-    def stand_up(self, now):
-        """The end of a fall."""
-        if self.outage is not None and not any(
-            one.kind in OUTAGES and self.place.name in one.names for one in self.active.values()
+    def recover(self, now):
+        """Ends the outage that an overload caused, unless a fault prolongs it."""
+        if self.outage_since is not None and not any(
+            scheduled.kind in OUTAGES and self.place.name in scheduled.names
+            for scheduled in self.active.values()
         ):
-            self.outage, self.warm_from = None, now
+            self.outage_since, self.recovering_since = None, now
 
     def capacity(self):
+        """Calls per second that all hosts can serve, capped by the rate limit."""
         own = self.form.concurrency * self.form.hosts * S / max(1, self.pace)
         return min(own, self.limit()) if self.form.limit else own
--- a/courseroute/town/scripted.py
+++ b/courseroute/town/scripted.py
@@ -30,10 +30,10 @@
         super().__init__(made(DAY, Day), places, time.monotonic_ns, town.tell)
         self.town = town
 
-    async def call(self, partner, door, sock, stream, machine, request, began, fresh):
+    async def call(self, partner, endpoint, sock, stream, parser, request, began, fresh):
         call = {
             "id": request.headers.get("x-request-id"),
-            "host": door.host.name,
+            "host": endpoint.host.name,
             "at": time.time(),
             "key": request.headers.get("idempotency-key"),
             "body": bytes(request.body),
@@ -44,19 +44,19 @@
         plan = await trio.to_thread.run_sync(self.town.plan, call, limiter=self.town.planning)
         if plan == "hang":
             with trio.move_on_after(HANG / 1e9):
-                await self.still_there(sock, None)
+                await self.stays_connected(sock, None)
         elif isinstance(plan, bytes):
             try:
                 await stream.send_all(plan)
-                await self.still_there(sock, None)
+                await self.stays_connected(sock, None)
             finally:  # the relay may end it while it is being written
                 call["closed"] = True
         elif plan == "drop":
             sock.shutdown(trio.socket.SHUT_RDWR)
         else:
             status, headers, *body = plan
-            await stream.send_all(machine.answer(status, list(headers.items()), *body))
-            return not machine.over
+            await stream.send_all(parser.answer(status, list(headers.items()), *body))
+            return not parser.over
         return False
 
 
--- a/tests/test_partner.py
+++ b/tests/test_partner.py
@@ -54,8 +54,8 @@
     ],
 )
 def test_a_fault_decides_what_comes_back_and_whether_it_ran(faults, form, told):
-    verdict = partner(faults, **form).arrive(S, HOST, 0, "k")
-    assert (verdict.status, verdict.ran, verdict.how) == told
+    outcome = partner(faults, **form).arrive(S, HOST, 0, "k")
+    assert (outcome.status, outcome.ran, outcome.failure) == told
 
 
 @pytest.mark.parametrize(
@@ -115,10 +115,10 @@
     if falls is None:
         assert "fell over" not in told
     else:
-        load, known = one.fell()
+        load, known = one.record_overload()
         assert load > 10 and known == falls * load
         assert one.arrive(5 * S, HOST, 0, "then").cause == "fallen over"
-        one.stand_up(14 * S)
+        one.recover(14 * S)
         assert one.arrive(14 * S, HOST, 0, "up").status == 200
 
 
