--- a/courseroute/decide.py
+++ b/courseroute/decide.py
@@ -8,7 +8,7 @@
 
 import random
 
-from courseroute.decisions.endpoint_list import HELD_UP, EndpointListSchedule
+from courseroute.decisions.endpoint_list import MAX_PROCESS_DELAY, EndpointListSchedule
 from courseroute.model.agenda import Scheduler
 from courseroute.model.causes import CloseCause, HoldCause
 from courseroute.model.histogram import FailureRates, Histogram, SpanCounter
@@ -173,13 +173,13 @@
         if scope in ("failed", "ended", "spoilt"):
             self.watched_since = None
             self.list_call_failed(now, scope, as_of)
-            self.plan_list_call(now + self.list_schedule.retry_after(), self.call_for_list)
+            self.plan_list_call(now + self.list_schedule.retry_delay(), self.call_for_list)
             return self.take_actions()
         if scope == "saved":
-            self.list_schedule.restored(now)
+            self.list_schedule.list_restored(now)
         else:
             self.watched_since = now
-            self.list_schedule.answered(now, now if as_of is None else as_of)
+            self.list_schedule.call_answered(now, now if as_of is None else as_of)
             if self.list_schedule.is_polled:
                 self.plan_list_call(now, self.call_for_list)
         if scope != "changes":
@@ -204,7 +204,7 @@
     def discovery_moved(self, now):
         """Discovery has a new address: requests the list there."""
         self.watched_since = None
-        self.list_schedule.moved(now)
+        self.list_schedule.address_changed(now)
         self.plan_list_call(now, self.call_for_list)
         return self.take_actions()
 
@@ -415,7 +415,7 @@
         """Requests the list, and plans the next request in case no answer comes in time."""
         if number == self.list_call_number:
             self.actions.append(("watch", self.list_schedule.call_wait()))
-            self.plan_list_call(now + self.list_schedule.late_after(), self.repeat_list_call)
+            self.plan_list_call(now + self.list_schedule.call_timeout(), self.repeat_list_call)
 
     def repeat_list_call(self, now, number):
         """Repeats a request that was not answered in time; a standing watch is left alone."""
@@ -430,13 +430,13 @@
     def list_call_failed(self, now, how, written_at=None):
         first = self.list_schedule.failing_since is None
         if how == "ended":
-            self.list_schedule.ended(now)
+            self.list_schedule.watch_ended(now)
         elif how == "spoilt":
-            self.list_schedule.spoilt(now, written_at)
+            self.list_schedule.answer_malformed(now, written_at)
         else:
-            self.list_schedule.failed(now, is_late=how == "late")
+            self.list_schedule.call_failed(now, is_late=how == "late")
         if first:  # at that time discovery counts as down, and held messages may be sent
-            self.schedule(self.list_schedule.taken_for_down_at(), int)
+            self.schedule(self.list_schedule.down_from(), int)
 
     def latest_start(self, message):
         """The time from which an attempt would probably miss the deadline."""
@@ -886,7 +886,9 @@
         if first is None or message.lane.effect == "retriable":
             return FOREVER
         return (
-            first + message.lane.window - self.timer_margin - HELD_UP if message.lane.effect == "keyed" else 0
+            first + message.lane.window - self.timer_margin - MAX_PROCESS_DELAY
+            if message.lane.effect == "keyed"
+            else 0
         )
 
     def close_if_late(self, now, message):
--- a/courseroute/decisions/__init__.py
+++ b/courseroute/decisions/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions in modules of their own, beside `courseroute.decide`; free of I/O and clocks."""
+"""Decisions that have modules of their own beside `courseroute.decide`. They do no I/O and read no clock."""
--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -120,7 +120,7 @@
 # Guards against a new life sending by a list that changed while no process ran.
 def test_a_restored_list_is_used_for_a_short_time_only():
     schedule = EndpointListSchedule(TERMS, random.uniform)
-    schedule.restored(1000 * S)
+    schedule.list_restored(1000 * S)
     assert not schedule.is_unusable(1002 * S) and schedule.is_unusable(1003 * S)
 
 
