--- a/courseroute/adapter/__main__.py
+++ b/courseroute/adapter/__main__.py
@@ -1,4 +1,4 @@
-"""Reads the simulator's wire on standard input and answers on standard output."""
+"""Serves the simulator's protocol: events on standard input, actions on standard output."""
 
 import sys
 
--- a/courseroute/adapter/wire.py
+++ b/courseroute/adapter/wire.py
@@ -1,12 +1,12 @@
-"""The simulator's wire: decodes events into calls of a Dispatcher and encodes what it returns."""
+"""The simulator's protocol: decodes events into calls of a Dispatcher and encodes the actions it returns."""
 
 import re
 import traceback
 
 from courseroute.decide import Dispatcher
-from courseroute.model.terms import terms_of, truth
+from courseroute.model.terms import parse_bool, terms_of
 
-US = 1000
+NS_PER_US = 1000
 ENDINGS = {
     "delivered": "delivered",
     "app_error": "error",
@@ -21,31 +21,34 @@
 SCOPES = {"0": "changes", "1": "full", "2": "saved", "3": "failed"}
 
 
-class Malformed(Exception):
-    pass
+class MalformedLine(Exception):
+    """A line that does not follow the protocol."""
 
 
-def fields(line):
+def parse_fields(line):
+    """Splits a line into its tag and a map of its fields."""
     parts = line.split("\t")
     found = {}
     for part in parts[1:]:
         name, eq, value = part.partition("=")
         if not eq:
-            raise Malformed(f"a part without '=' in {parts[0]}: {part[:60]!r}")
+            raise MalformedLine(f"field without '=' in {parts[0]}: {part[:60]!r}")
         found[name] = value
     return parts[0], found
 
 
-def need(found, name, kind=str):
+def required_field(found, name, convert=str):
+    """The converted value of a field; MalformedLine if it is missing or invalid."""
     try:
-        return kind(found[name])
+        return convert(found[name])
     except KeyError:
-        raise Malformed(f"field {name} is missing") from None
+        raise MalformedLine(f"field {name} is missing") from None
     except ValueError:
-        raise Malformed(f"field {name} is no {kind.__name__}: {found[name][:60]!r}") from None
+        raise MalformedLine(f"field {name} is not of type {convert.__name__}: {found[name][:60]!r}") from None
 
 
-def report_of(text):
+def parse_report(text):
+    """A host's load report; None if it is absent or incomplete."""
     if not text or text == "-":
         return None
     values = dict(pair.split(":", 1) for pair in text.split(",") if ":" in pair)
@@ -55,7 +58,8 @@
         return None
 
 
-def entry_of(found, listed_rates):
+def parse_entry(found, listed_rates):
+    """An entry of the endpoint list as the dispatcher takes it."""
     rate = float(found["power-hint"]) if listed_rates and found.get("power-hint") else None
     return (
         found["host"],
@@ -67,153 +71,162 @@
     )
 
 
-def encode(who, action, now):
-    what = action[0]
-    head = f"\twho={who}"
-    if what == "send":
-        return f"DISPATCH{head}\thandle={action[1]}\thost={action[2]}\ttry-until={action[3] // US}"
-    if what == "wake":
-        return f"ARM{head}\tlabel=1\tafter={max(1, -(-action[1] // US))}"
-    if what == "push back":
-        return f"REJECT{head}\thandle={action[1]}\tretry-after={-(-action[2] // US)}"
-    if what == "fail":
+def encode_action(relay_id, action, now):
+    """The line for an action; times are in microseconds, rounded up where they are delays."""
+    kind = action[0]
+    head = f"\twho={relay_id}"
+    if kind == "send":
+        return f"DISPATCH{head}\thandle={action[1]}\thost={action[2]}\ttry-until={action[3] // NS_PER_US}"
+    if kind == "wake":
+        return f"ARM{head}\tlabel=1\tafter={max(1, -(-action[1] // NS_PER_US))}"
+    if kind == "push back":
+        return f"REJECT{head}\thandle={action[1]}\tretry-after={-(-action[2] // NS_PER_US)}"
+    if kind == "fail":
         return f"LOSE{head}\thandle={action[1]}"
-    if what == "cancel":
+    if kind == "cancel":
         return f"CANCEL{head}\thandle={action[1]}\tn={action[2]}"
-    if what == "close":
+    if kind == "close":
         return f"CLOSE{head}\thost={action[1]}"
-    if what == "watch":
+    if kind == "watch":
         return f"TAIL{head}\tactive=1"
-    if what == "log":
+    if kind == "log":
         return f"REMARK{head}\tmessage={action[1]}"
-    raise ValueError(f"no wire form for {what!r}")
+    raise ValueError(f"no wire form for {kind!r}")
 
 
-class Wire:
+class SimulatorAdapter:
     def __init__(self, errors):
         self.errors = errors
-        self.relays = {}  # who -> (Dispatcher, rates are listed)
-        self.sheets = {}
+        self.relays = {}  # relay id -> (Dispatcher, whether rates are listed)
+        self.endpoint_lists = {}
         self.reset()
 
     def reset(self):
         self.now = 0
         self.replies = []
-        self.touched = {}
-        self.entries_due = 0
-        self.sheet = None
+        self.active_relays = {}
+        self.missing_entries = 0
+        self.current_list = None
 
-    def read(self, line):
-        """Takes one line; returns the reply when the batch is complete."""
+    def read_line(self, line):
+        """Handles one line; returns the reply if the line completes a batch, else None."""
         tag, _, rest = line.partition("\t")
         if tag == "CONFIGURE":
             return self.configure(rest)
-        tag, found = fields(line)
-        if self.entries_due:
+        tag, found = parse_fields(line)
+        if self.missing_entries:
             if tag != "ENTRY":
-                raise Malformed(f"{tag} where an ENTRY was due")
-            need(found, "host")
-            self.sheet.append(found)
-            self.entries_due -= 1
+                raise MalformedLine(f"{tag} where an ENTRY was expected")
+            required_field(found, "host")
+            self.current_list.append(found)
+            self.missing_entries -= 1
         elif tag == "BEGIN_BATCH":
             self.reset()
-            self.now = need(found, "at-time", int) * US
+            self.now = required_field(found, "at-time", int) * NS_PER_US
         elif tag == "YOUR_TURN":
-            for who in self.touched:
-                self.tell(who, "settle")
+            for relay_id in self.active_relays:
+                self.notify_dispatcher(relay_id, "settle")
             return "".join(reply + "\n" for reply in self.replies) + "OK\n"
         elif tag == "DEFINE_LIST":
-            self.sheet = self.sheets[need(found, "sheet", int)] = []
-            self.entries_due = need(found, "members-list", int)
+            self.current_list = self.endpoint_lists[required_field(found, "sheet", int)] = []
+            self.missing_entries = required_field(found, "members-list", int)
         else:
-            self.event(tag, found)
+            self.handle_event(tag, found)
         return None
 
     def configure(self, rest):
         parts = dict(part.split("=", 1) for part in rest.split("\t") if "=" in part)
-        who = need(parts, "who", int)
+        relay_id = required_field(parts, "who", int)
         try:
             terms = terms_of({k[8:] if k.startswith("options=") else k: v for k, v in parts.items()})
-            self.relays[who] = (Dispatcher(need(parts, "seed", int), terms), terms["listed_rates"])
-        except Malformed:
+            self.relays[relay_id] = (
+                Dispatcher(required_field(parts, "seed", int), terms),
+                terms["listed_rates"],
+            )
+        except MalformedLine:
             raise
         except Exception as cause:
-            self.fatal(who, cause)
+            self.report_fatal(relay_id, cause)
             return
-        self.tell(who, "start")
+        self.notify_dispatcher(relay_id, "start")
 
-    def event(self, tag, found):
+    def handle_event(self, tag, found):
         if tag not in ("VIEW", "INBOUND", "DROPPED", "FIRED", "DESTROY", "CLOSED_ATTEMPT"):
             return
-        who = need(found, "who", int)
-        if who not in self.relays:
+        relay_id = required_field(found, "who", int)
+        if relay_id not in self.relays:
             return
         if tag == "DESTROY":
-            del self.relays[who]
-            self.touched.pop(who, None)
+            del self.relays[relay_id]
+            self.active_relays.pop(relay_id, None)
         elif tag == "FIRED":
-            self.tell(who, "wake")
+            self.notify_dispatcher(relay_id, "wake")
         elif tag == "INBOUND":
-            self.tell(
-                who,
+            self.notify_dispatcher(
+                relay_id,
                 "take",
-                need(found, "handle"),
+                required_field(found, "handle"),
                 found.get("destination", ""),
                 found.get("lane", ""),
-                need(found, "client-deadline", int) * US,
+                required_field(found, "client-deadline", int) * NS_PER_US,
                 found.get("entity"),
                 found.get("user-group"),
-                truth(found.get("is-retry", "0")),
+                parse_bool(found.get("is-retry", "0")),
             )
         elif tag == "DROPPED":
-            self.tell(who, "withdraw", need(found, "handle"))
+            self.notify_dispatcher(relay_id, "withdraw", required_field(found, "handle"))
         elif tag == "CLOSED_ATTEMPT":
-            ending = ENDINGS.get(need(found, "ending"), "reset")
-            wait = int(found.get("detail") or 0) * 1000 * US if ending == "full" else 0
-            self.tell(
-                who,
+            ending = ENDINGS.get(required_field(found, "ending"), "reset")
+            wait = int(found.get("detail") or 0) * 1000 * NS_PER_US if ending == "full" else 0
+            self.notify_dispatcher(
+                relay_id,
                 "outcome",
-                need(found, "handle"),
-                need(found, "n", int),
-                need(found, "host"),
+                required_field(found, "handle"),
+                required_field(found, "n", int),
+                required_field(found, "host"),
                 ending,
-                int(found.get("delay-seen") or 0) * US,
+                int(found.get("delay-seen") or 0) * NS_PER_US,
                 wait,
-                report_of(found.get("usage")),
-                truth(found.get("over", "0")),
+                parse_report(found.get("usage")),
+                parse_bool(found.get("over", "0")),
             )
         else:
-            scope = SCOPES.get(need(found, "scope"), "failed")
-            listed = self.relays[who][1]
-            sheet = [] if scope == "failed" else self.sheets.get(need(found, "sheet", int), [])
-            self.tell(who, "roster", scope, [entry_of(entry, listed) for entry in sheet])
+            scope = SCOPES.get(required_field(found, "scope"), "failed")
+            listed = self.relays[relay_id][1]
+            entries = (
+                [] if scope == "failed" else self.endpoint_lists.get(required_field(found, "sheet", int), [])
+            )
+            self.notify_dispatcher(
+                relay_id, "roster", scope, [parse_entry(entry, listed) for entry in entries]
+            )
 
-    def tell(self, who, what, *told):
-        if who not in self.relays:
+    def notify_dispatcher(self, relay_id, method, *arguments):
+        if relay_id not in self.relays:
             return
-        self.touched[who] = True
+        self.active_relays[relay_id] = True
         try:
-            actions = getattr(self.relays[who][0], what)(self.now, *told)
-            self.replies += [encode(who, action, self.now) for action in actions]
+            actions = getattr(self.relays[relay_id][0], method)(self.now, *arguments)
+            self.replies += [encode_action(relay_id, action, self.now) for action in actions]
         except Exception as cause:
-            self.fatal(who, cause)
+            self.report_fatal(relay_id, cause)
 
-    def fatal(self, who, cause):
+    def report_fatal(self, relay_id, cause):
         traceback.print_exc(file=self.errors)
         text = re.sub(r"\s+", " ", f"{type(cause).__name__}: {cause}")
-        self.replies.append(f"FATAL\twho={who}\tmessage={text[:300]}")
-        self.relays.pop(who, None)
+        self.replies.append(f"FATAL\twho={relay_id}\tmessage={text[:300]}")
+        self.relays.pop(relay_id, None)
 
 
 def serve(source, sink, errors):
-    wire = Wire(errors)
+    """Answers batches until the input ends. Returns the exit status: 2 after a malformed line, else 0."""
+    adapter = SimulatorAdapter(errors)
     for raw in source:
         line = raw.decode("utf-8", "replace").rstrip("\r\n")
         if not line:
             continue
         try:
-            reply = wire.read(line)
-        except (Malformed, ValueError, KeyError) as cause:
+            reply = adapter.read_line(line)
+        except (MalformedLine, ValueError, KeyError) as cause:
             print(f"courseroute: malformed line: {cause}", file=errors)
             return 2
         if reply is not None:
--- a/courseroute/decide.py
+++ b/courseroute/decide.py
@@ -33,9 +33,8 @@
 FIRST_HEADROOM, MAX_HEADROOM, HEADROOM_GROWTH, HEADROOM_CUT, FORGET_AFTER = 0.8, 1.0, 0.1, 0.7, 60 * S
 # Sends a second: repeated cuts leave the first to all relays together, and the second to each relay.
 MIN_RATE, MIN_RELAY_RATE = 1.0, 0.1
-DURATION_EDGES = [
-    int(10 * MS * 1.5**i) for i in range(20)
-]  # histogram bin edges of call durations, 10 ms to 22 s
+# Histogram bin edges of call durations, 10 ms to 22 s.
+DURATION_EDGES = [int(10 * MS * 1.5**i) for i in range(20)]
 # Values after which a histogram is halved; the duration assumed for a call while none is known.
 HISTOGRAM_CAP, DEFAULT_DURATION = 64, 100 * MS
 # Endings that prove the request did not run; endings without an answer.
@@ -43,7 +42,8 @@
     ("full", "unreachable", "broken", "unsent"),
     ("timeout", "reset", "stale", "cancelled"),
 )
-# Weights for the sequential test. `stale` has none: a kept connection that broke says nothing about its host.
+# Weights for the sequential test. `stale` has none: a reused connection that broke says nothing about its
+# host.
 EVIDENCE_WEIGHTS = {
     "delivered": -0.7,
     "error": 1.1,
@@ -53,13 +53,12 @@
     "unreachable": 4.5,
     "full": 4.5,
 }
-EVIDENCE_BOUND, SHORT_OUTAGE = (
-    4.5,
-    3 * S,
-)  # evidence that sets a host aside; a shorter silence is not an outage
-# A host is set aside for this time, plus up to half of it at random; trial sends of all relays together are
-# spread over this many times the outage's length.
-SET_ASIDE_FOR, OUTAGES_PER_TRY = 1 * S, 4
+# Evidence at which a host is ejected; a time without deliveries that is shorter than the second value is not
+# an outage.
+EVIDENCE_THRESHOLD, SHORT_OUTAGE = 4.5, 3 * S
+# A host is ejected for this time, plus up to half of it at random; probes of all relays together are spread
+# over this many times the outage's length.
+EJECTION_TIME, PROBE_SPACING_FACTOR = 1 * S, 4
 # Interval between rankings of hosts; open calls of a host before the next one in rank gets a call.
 RANKING_INTERVAL, CALLS_PER_LEVEL = 1 * S, 2
 # Attempt timeout: this multiple of a slow call's duration, within the two bounds.
@@ -70,7 +69,8 @@
 LOSS_THRESHOLD, LOSS_SMOOTHING, TIMEOUT_DIVISOR = 0.1, 0.05, 2
 # Weight of a newly reported limit; a rough listed rate may be too high by at most this factor.
 LIMIT_SMOOTHING, ROUGH_RATE_FACTOR = 0.1, 1.5
-LAST_SEND_AFTER, EXIT_AFTER = 2400 * MS, 3000 * MS  # after the request to stop: end of sending, exit
+# Times after the request to stop: the end of sending, and the exit.
+LAST_SEND_AFTER, EXIT_AFTER = 2400 * MS, 3000 * MS
 # Names of the stored fields, in the order of their values in the stored record; they survive a restart.
 STORED_ROUTE_FIELDS = (
     "headroom",
@@ -87,10 +87,10 @@
     "evidence",
     "failing_since",
     "outage_length",
-    "set_aside_at",
+    "ejected_at",
     "not_before",
-    "on_trial",
-    "ramp_since",
+    "probing",
+    "slow_start_since",
 )
 # Key of the endpoint list's state among the stored records. No host has this name, so earlier
 # versions skip it.
@@ -145,9 +145,8 @@
             {},
         )
         self.to_rank, self.lost_share, self.area_durations, self.hosts_added = {}, {}, {}, 0
-        self.idle_losses = FailureRates(
-            DURATION_EDGES[::3], 4 * HISTOGRAM_CAP
-        )  # lost calls by the connection's idle time, 0 if new
+        # Lost calls by the connection's idle time, 0 if new.
+        self.idle_losses = FailureRates(DURATION_EDGES[::3], 4 * HISTOGRAM_CAP)
         self.list_schedule, self.sending_paused = EndpointListSchedule(terms, self.uniform), False
         self.active_calls, self.watched_since, self.list_call_number, self.sends_end_at = 0, None, 0, 1 << 63
         self.unlisted = Destination(None)  # destination of all messages whose own is not listed
@@ -185,16 +184,16 @@
         if scope != "changes":
             for host in self.hosts.values():
                 host.listed, host.gone_since = False, host.gone_since or now
-        for name, state, area, rate, kind, where in entries:
-            host = self.hosts.get(name) or self.add_host(name, kind, where)
+        for name, state, area, rate, kind, destination_name in entries:
+            host = self.hosts.get(name) or self.add_host(name, kind, destination_name)
             host.listed, host.area, host.listed_rate = state == "ready", area, rate
             host.gone_since = (host.gone_since or now) if state == "gone" else None
         for destination in self.destinations.values():
             for route in destination.routes:
                 if route.held_messages and not any(host.listed for host in route.hosts):
                     self.rebook(now, route, True)
-            stranded, destination.without_host = destination.without_host, []
-            for message in (message for message in stranded if not message.is_closed):
+            waiting, destination.without_host = destination.without_host, []
+            for message in (message for message in waiting if not message.is_closed):
                 self.book_slot(now, message)
         for host in list(self.hosts.values()):
             if host.gone_since and now - host.gone_since > FORGET_AFTER and not host.attempts:
@@ -224,56 +223,70 @@
     def memory(self, now):
         """State that a restarted relay restores after the endpoint list. Without it the relay would send
         a burst to hosts that refuse calls or are down."""
-        learned = [
+        state = [
             [host.name, values_of(host, STORED_HOST_FIELDS), values_of(host.route, STORED_ROUTE_FIELDS)]
             for host in self.hosts.values()
-            if host.on_trial
-            or host.ramp_since
+            if host.probing
+            or host.slow_start_since
             or host.route.refused_at is not None
             or host.route.wait_until > now
         ]
-        of_list = self.list_schedule.memory()
-        return [*learned, [ENDPOINT_LIST_KEY, of_list, []]] if of_list else learned
+        list_state = self.list_schedule.memory()
+        return [*state, [ENDPOINT_LIST_KEY, list_state, []]] if list_state else state
 
-    def recall(self, now, learned, at):
+    def recall(self, now, state, saved_at):
         """Restores state that was saved at `at`. A wait holds to its end, headroom grows with the state's
         age, and after FORGET_AFTER no other limit holds."""
-        age = max(0, now - at) if at else 0
-        for name, of_host, of_route in learned:
+        age = max(0, now - saved_at) if saved_at else 0
+        for name, host_values, route_values in state:
             if name == ENDPOINT_LIST_KEY:
-                self.list_schedule.recall(of_host)
+                self.list_schedule.recall(host_values)
             if host := self.hosts.get(name):
                 route = host.route
-                set_values(route, STORED_ROUTE_FIELDS, of_route)
+                set_values(route, STORED_ROUTE_FIELDS, route_values)
                 route.headroom += max(0.0, MAX_HEADROOM - route.headroom) * min(1.0, age / FORGET_AFTER)
                 if age < FORGET_AFTER:
-                    set_values(host, STORED_HOST_FIELDS, of_host)
+                    set_values(host, STORED_HOST_FIELDS, host_values)
                 else:
                     route.refused_at, route.learned_rate, route.usual_rate = None, 0.0, 0.0
         return self.take_actions()
 
-    def take(self, now, name, where, lane, deadline, key=None, customer=None, again=False, attempts=()):
+    def take(
+        self,
+        now,
+        name,
+        destination_name,
+        lane,
+        deadline,
+        key=None,
+        customer=None,
+        is_retry=False,
+        attempts=(),
+    ):
         """Accepts a message. `attempts`: its attempts before a restart, each (host, sent at, ending); an
         attempt without an ending may have run."""
         lane = self.lanes.get(lane) or self.lanes.setdefault(
             lane, Lane(lane, call_durations=Histogram(DURATION_EDGES, HISTOGRAM_CAP))
         )
         destination = (
-            self.destinations.get(where, self.unlisted) if self.hosts else self.destination_named(where)
+            self.destinations.get(destination_name, self.unlisted)
+            if self.hosts
+            else self.destination_named(destination_name)
         )
-        deadline = min(
-            deadline, now + (lane.deadline or 1 << 62)
-        )  # otherwise a deadline far in the future would keep the message for ever
-        message = self.open_messages[name] = Message(name, destination, lane, deadline, key, customer, again)
-        doubtful, message.attempts_made = (
+        # Otherwise a deadline far in the future would keep the message for ever.
+        deadline = min(deadline, now + (lane.deadline or 1 << 62))
+        message = self.open_messages[name] = Message(
+            name, destination, lane, deadline, key, customer, is_retry
+        )
+        uncertain, message.attempts_made = (
             [attempt for attempt in attempts if attempt[2] not in NEVER_RAN],
             len(attempts),
         )
-        if doubtful:
+        if uncertain:
             message.first_uncertain_at, message.may_have_run, message.last_host = (
-                doubtful[0][1],
+                uncertain[0][1],
                 True,
-                self.hosts.get(doubtful[-1][0]),
+                self.hosts.get(uncertain[-1][0]),
             )
             if message.key and message.lane.ordered:
                 self.key_queues.setdefault(message.key, KeyQueue()).not_before = now + self.terms.get(
@@ -334,21 +347,22 @@
         return self.take_actions()
 
     def return_unsent(self, now):
-        """Pushes back messages that were not sent before the shutdown."""
+        """Rejects messages that were not sent before the shutdown, if a retry is safe."""
         for message in [
             message
             for message in self.open_messages.values()
             if not message.pending and self.is_safe_to_retry(now, message)
         ]:
             self.close_message(now, message, CloseCause.STOPPING)
-        self.actions.append(("see off",))  # not earlier: the other relays' shares of the limits don't grow
+        # Not earlier: the other relays' shares of the limits don't grow when their clients do.
+        self.actions.append(("see off",))
 
     def wake(self, now):
         """A requested timer fired; `settle` does the work."""
         self.timer_at = None
         return self.take_actions()
 
-    def outcome(self, now, name, number, where, ending, took, wait, report, over, idle=None):
+    def outcome(self, now, name, number, host_name, ending, duration, wait, report, is_final, idle=None):
         """Handles the end of an attempt; see courseroute/model/interface.py."""
         attempt = self.attempts.pop((name, number), None)
         if attempt is None:
@@ -375,23 +389,25 @@
                 if not (limit and route.reported_limit)
                 else route.reported_limit + (limit - route.reported_limit) * LIMIT_SMOOTHING
             )
-        alone = ending == "full" and self.handle_refusal(now, route, wait)
+        only_refusals = ending == "full" and self.handle_refusal(now, route, wait)
         if ending == "delivered":
-            host.durations.add(took)
-            self.area_durations.setdefault(host.area, Histogram(DURATION_EDGES, HISTOGRAM_CAP)).add(took)
-            message.lane.call_durations.add(took)
+            host.durations.add(duration)
+            self.area_durations.setdefault(host.area, Histogram(DURATION_EDGES, HISTOGRAM_CAP)).add(duration)
+            message.lane.call_durations.add(duration)
             route.recent_deliveries.add(now)
             route.usual_deliveries.add(now)
         self.record_connection_loss(host, ending, idle)
         self.to_rank[message.destination.name] = message.destination
-        self.record_evidence(now, host, ending, attempt, alone)
-        if over:
+        self.record_evidence(now, host, ending, attempt, only_refusals)
+        if is_final:
             self.complete_message(now, message)
-            if ending == "unsent":  # frees its slot, so that withdrawn messages don't delay others
+            # The slot is freed, so that withdrawn messages don't delay others.
+            if ending == "unsent":
                 route.charged_sends = max(0, route.charged_sends - 1)
                 self.rebook(now, route)
         elif not message.is_closed and not message.pending:
-            message.booking_number = 0  # a new booking, if the class still allows an attempt
+            # A new booking, if the class still allows an attempt.
+            message.booking_number = 0
             self.book_slot(now, message)
         if message.is_closed and not message.pending:
             self.leave_key_queue(now, message)
@@ -427,15 +443,16 @@
             self.list_call_failed(now, "late")
         self.call_for_list(now, number)
 
-    def list_call_failed(self, now, how, written_at=None):
-        first = self.list_schedule.failing_since is None
-        if how == "ended":
+    def list_call_failed(self, now, reason, written_at=None):
+        is_first = self.list_schedule.failing_since is None
+        if reason == "ended":
             self.list_schedule.watch_ended(now)
-        elif how == "spoilt":
+        elif reason == "spoilt":
             self.list_schedule.answer_malformed(now, written_at)
         else:
-            self.list_schedule.call_failed(now, is_late=how == "late")
-        if first:  # at that time discovery counts as down, and held messages may be sent
+            self.list_schedule.call_failed(now, is_late=reason == "late")
+        # At that time discovery counts as down, and held messages may be sent.
+        if is_first:
             self.schedule(self.list_schedule.down_from(), int)
 
     def latest_start(self, message):
@@ -446,12 +463,12 @@
             - self.timer_margin
         )
 
-    def destination_named(self, where):
-        return self.destinations.setdefault(where, Destination(where))
+    def destination_named(self, name):
+        return self.destinations.setdefault(name, Destination(name))
 
-    def add_host(self, name, kind, where):
+    def add_host(self, name, kind, destination_name):
         """Adds a host, and its route and destination where they are new."""
-        destination = self.destination_named(where)
+        destination = self.destination_named(destination_name)
         settings = self.terms.get("kinds", {}).get(kind, {})
         if settings.get("apart") or not destination.routes:
             route = Route(
@@ -479,34 +496,37 @@
         """Periodically sorts hosts and routes. A host without measured calls is ranked by those of its
         area."""
 
-        def standing(host):
-            near = host.area == self.terms.get("area")
-            usual = host.durations if near else self.area_durations.get(host.area, host.durations)
-            slow = host.durations.quantile(0.5) or usual.quantile(0.5) or 0
-            return not host.listed, host.evidence >= EVIDENCE_BOUND / 2, slow, host.index
+        def rank_key(host):
+            in_own_area = host.area == self.terms.get("area")
+            fallback = host.durations if in_own_area else self.area_durations.get(host.area, host.durations)
+            typical = host.durations.quantile(0.5) or fallback.quantile(0.5) or 0
+            return not host.listed, host.evidence >= EVIDENCE_THRESHOLD / 2, typical, host.index
 
-        for destination in self.to_rank.values():  # only destinations with a result since the last time
+        # Only destinations with a result since the last ranking.
+        for destination in self.to_rank.values():
             for route in destination.routes:
-                route.hosts.sort(key=standing)
-            destination.routes.sort(key=lambda route: standing(route.hosts[0]))
+                route.hosts.sort(key=rank_key)
+            destination.routes.sort(key=lambda route: rank_key(route.hosts[0]))
         self.to_rank.clear()
         for route in {
             message.route.index: message.route for message in self.open_messages.values() if message.route
         }.values():
             if self.send_budget(now, route) and route.booked_headroom < route.headroom:
-                self.rebook(now, route)  # messages booked under the smaller budget would stay late
+                # Messages booked under the smaller budget would stay late.
+                self.rebook(now, route)
         self.schedule(now + RANKING_INTERVAL, self.renew_ranking)
 
     def check_admission(self, now, message):
         """Rejects a message that has no destination, time or room. A destination may hold as many messages as
         there is free room, so that its backlog does not lock out the others."""
         quota = self.terms.get("customers", {}).get(message.customer, 0) / self.relays
-        if quota:  # a message beyond the quota is worth little: it may wait for its target time only
-            at, left = self.quota_left.get(message.customer, (now, 1 << 30))
-            left = min(max(1.0, quota * QUOTA_BURST_SPAN / S), left + quota * (now - at) / S)
-            message.over_share = left < 1
-            self.quota_left[message.customer] = now, left - (not message.over_share)
-        free = (
+        # A message beyond the quota is worth little, so it may wait for its target time only.
+        if quota:
+            updated_at, tokens = self.quota_left.get(message.customer, (now, 1 << 30))
+            tokens = min(max(1.0, quota * QUOTA_BURST_SPAN / S), tokens + quota * (now - updated_at) / S)
+            message.over_share = tokens < 1
+            self.quota_left[message.customer] = now, tokens - (not message.over_share)
+        free_room = (
             self.terms.get("room", 1 << 30)
             - len(self.open_messages)
             - sum(len(route.held_messages) for route in message.destination.routes)
@@ -515,7 +535,7 @@
             self.close_message(now, message, CloseCause.NO_DESTINATION)
         elif now >= self.latest_start(message):
             self.close_message(now, message, CloseCause.TOO_LATE)
-        elif free < 0:
+        elif free_room < 0:
             self.close_message(now, message, CloseCause.NO_ROOM)
         return not message.is_closed
 
@@ -530,30 +550,33 @@
     def leave_key_queue(self, now, message):
         """Removes a closed message without open attempts; the next of its key follows after the ordering
         gap."""
-        turn = self.key_queues.get(message.key)
-        if self.open_messages.pop(message.name, None) and turn:
-            if message in turn.queue:  # a message that was not admitted is not in the queue
-                turn.queue.remove(message)
+        key_queue = self.key_queues.get(message.key)
+        if self.open_messages.pop(message.name, None) and key_queue:
+            # A message that was not admitted is not in the queue.
+            if message in key_queue.queue:
+                key_queue.queue.remove(message)
             self.schedule(now, self.book_next_of_key, message.key)
 
     def book_next_of_key(self, now, key):
-        turn = self.key_queues.get(key)
-        if turn and now < turn.not_before:
-            self.schedule(turn.not_before, self.book_next_of_key, key)
-        elif turn and not turn.queue:
+        key_queue = self.key_queues.get(key)
+        if key_queue and now < key_queue.not_before:
+            self.schedule(key_queue.not_before, self.book_next_of_key, key)
+        elif key_queue and not key_queue.queue:
             del self.key_queues[key]
-        elif turn:
-            first = turn.queue[0]
+        elif key_queue:
+            first = key_queue.queue[0]
             if not (
                 first.is_closed or first.route or first.pending or first in first.destination.without_host
             ):
                 self.book_slot(now, first)
 
     def rate_limit(self, route):
-        """This relay's share of the listed or reported limit, else the learned rate, in sends a second."""
+        """This relay's share of the listed or reported limit, else the learned rate, in sends a second.
+        The relay's share of a limit is at least one send a second, unless the route refuses everything or
+        reports its limit."""
         limit = route.reported_limit if route.hosts[0].listed_rate is None else route.hosts[0].listed_rate
-        least = MIN_RELAY_RATE if route.refuses_all or route.reported_limit is not None else MIN_RATE
-        return max(min(least, limit), limit / self.relays) if limit else route.learned_rate
+        min_rate = MIN_RELAY_RATE if route.refuses_all or route.reported_limit is not None else MIN_RATE
+        return max(min(min_rate, limit), limit / self.relays) if limit else route.learned_rate
 
     def send_budget(self, now, route):
         """Allowed sends a second; None while only waits requested by the host limit the route."""
@@ -561,43 +584,42 @@
             route.refused_at = None
         if route.refused_at is None or route.reported_limit == 0:
             return None
-        if clean := (now - route.grown_at) // S:
-            route.grown_at += clean * S
-            clean = min(
-                clean, route.recent_deliveries.highest(now)
-            )  # seconds without deliveries are no evidence of capacity
-            route.headroom = min(MAX_HEADROOM, route.headroom + HEADROOM_GROWTH * clean)
-            route.learned_rate *= (1 + HEADROOM_GROWTH) ** clean
+        if clean_seconds := (now - route.grown_at) // S:
+            route.grown_at += clean_seconds * S
+            # Seconds without deliveries are no evidence of capacity.
+            clean_seconds = min(clean_seconds, route.recent_deliveries.highest(now))
+            route.headroom = min(MAX_HEADROOM, route.headroom + HEADROOM_GROWTH * clean_seconds)
+            route.learned_rate *= (1 + HEADROOM_GROWTH) ** clean_seconds
         return route.headroom * self.rate_limit(route)
 
     def handle_refusal(self, now, route, wait):
         """Cuts the budget after a refusal. True if nothing was delivered since the last cut: the
         destination is then taken to refuse everything."""
-        fresh = route.refused_at is None or now - route.cut_at >= S
-        alone = fresh and route.refused_at is not None and route.cut_at > route.last_delivered_at
+        is_new = route.refused_at is None or now - route.cut_at >= S
+        only_refusals = is_new and route.refused_at is not None and route.cut_at > route.last_delivered_at
         if route.refused_at is None or route.reported_limit == 0:
             route.headroom, route.learned_rate = (
                 FIRST_HEADROOM,
                 max(MIN_RATE, route.recent_deliveries.highest(now)),
             )
-            if fresh:
+            if is_new:
                 self.log(
                     f"route {route.index}: budget begins at {route.headroom * self.rate_limit(route):.2f}/s"
                 )
-        elif fresh:
+        elif is_new:
             route.headroom = max(
                 route.headroom * HEADROOM_CUT,
                 min(route.headroom, MIN_RATE / self.relays / self.rate_limit(route)),
             )
         route.cut_at, route.refuses_all = (
-            now if fresh else route.cut_at,
-            alone or route.refuses_all and route.refused_at is not None,
+            now if is_new else route.cut_at,
+            only_refusals or route.refuses_all and route.refused_at is not None,
         )
         route.refused_at = route.grown_at = now
         route.charged_sends = min(route.charged_sends, max(1.0, self.send_budget(now, route) or 1.0))
         route.wait_until = max(route.wait_until, now + wait if wait else 0)
         self.rebook(now, route, now < route.wait_until)
-        return alone
+        return only_refusals
 
     def find_slot(self, now, route):
         """(second with room, sends booked in it, messages in the call). A cursor in the past moves to
@@ -608,17 +630,18 @@
             return max(now, route.wait_until), 0, 0
         if route.per_call > 1 and route.next_second > now and 0 < route.call_messages < route.per_call:
             return route.next_second, route.booked_sends, route.call_messages + 1
-        begin, second, used = max(now, route.wait_until), route.next_second, route.booked_sends
-        start = begin // S * S
-        if second < start:  # bookings beyond a small budget are carried over
-            second, used = start, max(0.0, used - budget * (start - second) / S)
-        if second == start:  # slots that passed unused are not made up for in a burst
-            used = max(used, budget * (begin - start) / S - 1)
-        while (
-            used > 0 and used + 1 > budget
-        ):  # fractions of a send are carried over; the first one always fits
-            second, used = second + S, used - budget
-        return second, used + 1, 1
+        earliest, second, booked = max(now, route.wait_until), route.next_second, route.booked_sends
+        current_second = earliest // S * S
+        # Bookings beyond a small budget are carried over.
+        if second < current_second:
+            second, booked = current_second, max(0.0, booked - budget * (current_second - second) / S)
+        # Slots that passed unused are not made up for in a burst.
+        if second == current_second:
+            booked = max(booked, budget * (earliest - current_second) / S - 1)
+        # Fractions of a send are carried over; the first send always fits.
+        while booked > 0 and booked + 1 > budget:
+            second, booked = second + S, booked - budget
+        return second, booked + 1, 1
 
     def book_slot(self, now, message):
         """Books the message on the route with the earliest slot, or closes it if that is too late."""
@@ -630,41 +653,47 @@
         if not usable:
             return message.destination.without_host.append(message)
 
-        def soonest(route):
+        def slot_order(route):
             """Sort key: the earliest send time on a route, then its open calls."""
-            back = min(host.not_before for host in route.hosts if host.listed)
-            return max(now, self.find_slot(now, route)[0], back), route.active_calls // CALLS_PER_LEVEL
+            available_from = min(host.not_before for host in route.hosts if host.listed)
+            return (
+                max(now, self.find_slot(now, route)[0], available_from),
+                route.active_calls // CALLS_PER_LEVEL,
+            )
 
-        route = min(usable, key=soonest)
-        second, used, riders = self.find_slot(now, route)
+        route = min(usable, key=slot_order)
+        second, booked, call_messages = self.find_slot(now, route)
         due = max(now, second)
-        if riders:  # the slot inside its second: evenly spaced, offset from those of the other relays
-            apart = S * (max(0.0, used - 1) + self.phase) / max(1.0, self.send_budget(now, route))
-            due = max(now, route.wait_until, second + int(apart))
-        last = min(
+        # The slot inside its second: evenly spaced, and offset from those of the other relays.
+        if call_messages:
+            offset = S * (max(0.0, booked - 1) + self.phase) / max(1.0, self.send_budget(now, route))
+            due = max(now, route.wait_until, second + int(offset))
+        latest = min(
             self.latest_start(message),
             now + message.lane.target if message.over_share else self.latest_start(message),
         )
-        last = min(last, self.sends_end_at) if self.is_safe_to_retry(now, message) else last
+        latest = min(latest, self.sends_end_at) if self.is_safe_to_retry(now, message) else latest
         if not self.may_send(due, message):
             return self.close_message(now, message, self.why_no_attempt(message))
-        if due >= last:
+        if due >= latest:
             return self.close_message(now, message, CloseCause.BOOKED_TOO_LATE)
-        route.next_second, route.booked_sends, route.call_messages = second, used, riders
+        route.next_second, route.booked_sends, route.call_messages = second, booked, call_messages
         self.sequence += 1
         message.booking_number = message.booking_number or self.sequence
         message.due_at, message.route = due, route
         route.held_messages[message.name] = message
         self.route_queues.add(route, message)
 
-    def rebook(self, now, route, due_too=False):
+    def rebook(self, now, route, include_due=False):
         """Books a route's held messages again, in order. Messages that are already due keep their slots
-        unless `due_too`."""
-        kept = 0 if due_too else sum(message.due_at <= now for message in route.held_messages.values())
-        moved = [message for message in route.held_messages.values() if due_too or message.due_at > now]
+        unless `include_due`."""
+        kept_slots = (
+            0 if include_due else sum(message.due_at <= now for message in route.held_messages.values())
+        )
+        moved = [message for message in route.held_messages.values() if include_due or message.due_at > now]
         route.next_second, route.booked_sends, route.call_messages = (
             route.charged_from,
-            route.charged_sends + kept,
+            route.charged_sends + kept_slots,
             0,
         )
         route.booked_headroom = route.headroom
@@ -674,33 +703,36 @@
         for message in sorted(moved, key=lambda message: message.booking_number):
             self.book_slot(now, message)
 
-    # Sending: messages whose time has come get a call, in booking order.
+    # Sending: due messages get a call, in booking order.
 
     def dispatch_due(self, now):
         self.update_sending_paused(now)
         for route, message in self.route_queues.heads():
-            if not self.may_send(now, message):  # the window may close while a message waits for a call
+            # The idempotency window may close while a message waits for a call.
+            if not self.may_send(now, message):
                 self.close_message(now, message, self.why_no_attempt(message))
             elif not self.sending_paused and (host := self.pick_host(now, route, message)):
                 self.start_attempt(now, message, route, host)
 
     def update_sending_paused(self, now):
-        holds_all = self.list_schedule.is_unusable(now)
-        if holds_all != self.sending_paused:
-            self.sending_paused = holds_all
-            what = "may be out of date, nothing is sent" if holds_all else "is used again"
-            self.log(f"endpoint list {what}, failed calls {self.list_schedule.failures}")
+        is_paused = self.list_schedule.is_unusable(now)
+        if is_paused != self.sending_paused:
+            self.sending_paused = is_paused
+            state = "may be out of date, nothing is sent" if is_paused else "is used again"
+            self.log(f"endpoint list {state}, failed calls {self.list_schedule.failures}")
 
     # Host selection: in order of rank, each host filled up to a level before the next.
 
     def may_use(self, host, message):
         """Whether the host may get the message; some keyed classes are bound to a zone."""
-        bound = (
+        bound_to_zone = (
             message.first_uncertain_at is not None
             and message.lane.effect == "keyed"
             and message.lane.group == "zone"
         )
-        return host.listed and not (bound and host.area != (message.last_host and message.last_host.area))
+        return host.listed and not (
+            bound_to_zone and host.area != (message.last_host and message.last_host.area)
+        )
 
     def pick_host(self, now, route, message):
         free = route.active_calls < self.slots - self.active_calls
@@ -734,7 +766,7 @@
         first = next(iter(host.attempts.values()), None)
         return (
             not first
-            or host.on_trial
+            or host.probing
             or host.last_delivered_at > first.started_at
             or now - first.started_at < self.attempt_timeout(host) // 2
         )
@@ -742,16 +774,16 @@
     def attempt_timeout(self, host):
         """An attempt's timeout. Its upper bound, and its halving where calls get lost, protect call slots
         and target times."""
-        haste = TIMEOUT_DIVISOR if self.lost_share.get(host.kind, 0.0) > LOSS_THRESHOLD else 1
-        slow = host.durations.quantile(0.9) or max(
+        divisor = TIMEOUT_DIVISOR if self.lost_share.get(host.kind, 0.0) > LOSS_THRESHOLD else 1
+        slow_call = host.durations.quantile(0.9) or max(
             lane.call_durations.quantile(0.9) or 0 for lane in self.lanes.values()
         )
-        return min(max(MIN_TIMEOUT, TIMEOUT_FACTOR * slow), MAX_TIMEOUT) // haste
+        return min(max(MIN_TIMEOUT, TIMEOUT_FACTOR * slow_call), MAX_TIMEOUT) // divisor
 
     def start_attempt(self, now, message, route, host):
         """Starts an attempt, in a new call or in one that starts in this batch."""
         until = min(
-            now + (MIN_TIMEOUT if host.on_trial else self.attempt_timeout(host)),
+            now + (MIN_TIMEOUT if host.probing else self.attempt_timeout(host)),
             message.deadline - self.timer_margin,
         )
         if not self.joins_call(now, host):
@@ -763,13 +795,16 @@
             )
             second = now // S * S
             if second > route.charged_from:
-                paid = (
+                elapsed_budget = (
                     (self.send_budget(now, route) or route.charged_sends) * (second - route.charged_from) / S
                 )
-                route.charged_from, route.charged_sends = second, max(0.0, route.charged_sends - paid)
+                route.charged_from, route.charged_sends = (
+                    second,
+                    max(0.0, route.charged_sends - elapsed_budget),
+                )
             route.charged_sends += 1
-            if host.ramp_since is not None:
-                host.not_before = now + max(self.send_interval(now, host), MIN_TIMEOUT * host.on_trial)
+            if host.slow_start_since is not None:
+                host.not_before = now + max(self.send_interval(now, host), MIN_TIMEOUT * host.probing)
         call, number = host.open_call, message.attempts_made
         call.message_count, call.pending = call.message_count + 1, call.pending + 1
         del route.held_messages[message.name]
@@ -783,41 +818,41 @@
         message.attempts_made, message.pending = number + 1, message.pending + 1
         self.actions.append(("send", message.name, host.name, until))
 
-    def record_evidence(self, now, host, ending, attempt, alone):
+    def record_evidence(self, now, host, ending, attempt, only_refusals):
         """Sequential test for outages. A failure counts against all hosts of a route, since most outages
         affect a whole destination."""
         route, weight = host.route, EVIDENCE_WEIGHTS.get(ending, 0.0)
         if ending == "delivered":
             host.evidence = max(0.0, host.evidence + weight)
-            if host.on_trial:  # a short failure is not an outage and needs no ramp-up
-                host.on_trial, host.evidence, host.not_before = False, 0.0, now
-                host.ramp_since = (
+            if host.probing:  # a short failure is not an outage, only some lost calls; it needs no slow start
+                host.probing, host.evidence, host.not_before = False, 0.0, now
+                host.slow_start_since = (
                     now if max(host.outage_length, self.send_interval(now, host)) > SHORT_OUTAGE else None
                 )
                 self.log(f"host {host.index}: returned, failures over {host.outage_length // MS} ms")
             host.failing_since, host.last_delivered_at, route.last_delivered_at = None, now, now
-        elif weight and (alone or ending != "full"):
-            host.failing_since = (
-                attempt.started_at if host.failing_since is None else host.failing_since
-            )  # it was failing when that attempt started
+        elif weight and (only_refusals or ending != "full"):
+            # The host was already failing when the attempt started.
+            host.failing_since = attempt.started_at if host.failing_since is None else host.failing_since
             for other in route.hosts:
                 if other is host or route.last_delivered_at <= host.failing_since:
                     other.evidence += weight
-                    if other.evidence >= EVIDENCE_BOUND and attempt.started_at >= other.set_aside_at:
-                        self.set_aside(now, other, ending, host.failing_since)
+                    if other.evidence >= EVIDENCE_THRESHOLD and attempt.started_at >= other.ejected_at:
+                        self.eject(now, other, ending, host.failing_since)
 
-    def set_aside(self, now, host, ending, ill):
-        """Stops sending to a host for a time. All relays that saw it fail try it again, and together
-        these trials can overload it, so they are spaced."""
+    def eject(self, now, host, ending, failing_since):
+        """Ejects a host: nothing is sent to it for a time, then probes. All relays that saw it fail probe it,
+        and together these probes can overload it, so they are spaced."""
         self.log(f"host {host.index}: set aside on {ending}, evidence {host.evidence:.1f}")
-        host.failing_since = ill if host.failing_since is None else host.failing_since
-        if host.ramp_since is None:  # the rate it served before is known to be within its limits
+        host.failing_since = failing_since if host.failing_since is None else host.failing_since
+        # The rate that the host served before is known to be within its limits, whatever they are.
+        if host.slow_start_since is None:
             host.route.usual_rate = (
                 (host.route.usual_deliveries.last + host.route.usual_deliveries.count)
                 * S
                 / (2 * USUAL_RATE_SPAN)
             )
-        host.on_trial, host.ramp_since, host.set_aside_at, host.outage_length = (
+        host.probing, host.slow_start_since, host.ejected_at, host.outage_length = (
             True,
             now,
             now,
@@ -825,9 +860,9 @@
         )
         host.not_before = (
             now
-            + SET_ASIDE_FOR
+            + EJECTION_TIME
             + int(
-                self.uniform(0, max(SET_ASIDE_FOR / 2, 2 * (self.send_interval(now, host) - SET_ASIDE_FOR)))
+                self.uniform(0, max(EJECTION_TIME / 2, 2 * (self.send_interval(now, host) - EJECTION_TIME)))
             )
         )
         if len(host.destination.routes) > 1:
@@ -851,27 +886,30 @@
     def send_interval(self, now, host):
         """Time between sends to a host that returns from an outage. All relays together stay below the
         permitted multiple of its rate."""
-        since, cold = now - host.ramp_since, self.terms.get("cold", 10 * S)
-        many = max(1, sum(other.listed for other in host.route.hosts))
-        if since >= cold and not host.on_trial:
-            host.ramp_since = None
+        elapsed, slow_start_time = now - host.slow_start_since, self.terms.get("cold", 10 * S)
+        host_count = max(1, sum(other.listed for other in host.route.hosts))
+        if elapsed >= slow_start_time and not host.probing:
+            host.slow_start_since = None
             return 0
         start = self.terms.get("cold_from", 0.2)
-        share = start if host.on_trial else start + (1 - start) * since / cold
+        share = start if host.probing else start + (1 - start) * elapsed / slow_start_time
         limit = host.listed_rate or host.route.reported_limit
         rate = (
             limit / self.relays
             if limit
             else host.route.learned_rate or host.route.usual_rate or MIN_RATE / self.relays
         )
-        rate /= many
+        rate /= host_count
         rate *= (
             share
             * max(1.0, self.terms.get("overload", 1.0))
             / (ROUGH_RATE_FACTOR if self.terms.get("rough") else 1)
         )
-        least = min(S / rate / many, OUTAGES_PER_TRY * OUTAGES_PER_TRY * SET_ASIDE_FOR) / OUTAGES_PER_TRY
-        return int(min(S / rate, many * max(least, OUTAGES_PER_TRY * host.outage_length)))
+        min_interval = (
+            min(S / rate / host_count, PROBE_SPACING_FACTOR * PROBE_SPACING_FACTOR * EJECTION_TIME)
+            / PROBE_SPACING_FACTOR
+        )
+        return int(min(S / rate, host_count * max(min_interval, PROBE_SPACING_FACTOR * host.outage_length)))
 
     def may_send(self, when, message):
         """Whether a further attempt is permitted at that time."""
@@ -879,14 +917,14 @@
             return False
         return when < self.repeatable_until(message, message.first_uncertain_at)
 
-    def repeatable_until(self, message, first):
+    def repeatable_until(self, message, first_uncertain_at):
         """The time before which an attempt has to be written. `first`: when the first attempt that may
         have run was dispatched, or None. A retry has to arrive inside the class's window even if the
         relay is delayed."""
-        if first is None or message.lane.effect == "retriable":
+        if first_uncertain_at is None or message.lane.effect == "retriable":
             return FOREVER
         return (
-            first + message.lane.window - self.timer_margin - MAX_PROCESS_DELAY
+            first_uncertain_at + message.lane.window - self.timer_margin - MAX_PROCESS_DELAY
             if message.lane.effect == "keyed"
             else 0
         )
@@ -914,19 +952,19 @@
         )
 
     def close_message(self, now, message, cause):
-        """Gives the one final answer: pushed back if a retry is safe, else failed."""
+        """Gives the one final answer: rejected if a retry by the client is safe, else failed."""
         if message.is_closed:
             return
         if self.is_safe_to_retry(now, message):
-            stay = max(
+            retry_after = max(
                 (
                     min(route.next_second, route.wait_until or route.next_second) - now
                     for route in message.destination.routes
                 ),
                 default=S,
             )
-            stay = max(0, min(stay, self.terms.get("stay_away", 0)))
-            self.actions.append(("push back", message.name, stay, cause))
+            retry_after = max(0, min(retry_after, self.terms.get("stay_away", 0)))
+            self.actions.append(("push back", message.name, retry_after, cause))
         else:
             self.actions.append(("fail", message.name, cause))
         if message.pending and self.terms.get("cancel"):
--- a/courseroute/model/terms.py
+++ b/courseroute/model/terms.py
@@ -1,27 +1,28 @@
-"""The operators' settings under the module's own names: a plain map of names to values, the `terms`."""
+"""Converts the operator's settings to the dispatcher's names: a plain map of names to values, the `terms`."""
 
-US = 1000
+NS_PER_US = 1000
 EFFECTS = {"pure": "retriable", "token": "keyed", "side_effect": "non-retriable"}
 
 
-def truth(text):
+def parse_bool(text):
     return text in ("1", "true")
 
 
-def listed(told, path):
-    return [value for value in told.get(path, "").split(",") if value]
+def parse_list(settings, path):
+    return [value for value in settings.get(path, "").split(",") if value]
 
 
-def terms_of(told):
-    """`told` maps each setting's path to its value; times become nanoseconds, what is absent stays absent."""
+def terms_of(settings):
+    """`settings` maps each setting's path to its value as text. Durations, in microseconds, become
+    nanoseconds. A setting that is absent stays absent."""
     terms = {}
 
-    def carry(name, path, convert):
-        if path in told:
-            terms[name] = convert(told[path])
+    def convert_if_set(name, path, convert):
+        if path in settings:
+            terms[name] = convert(settings[path])
 
-    def span(text):
-        return int(text) * US
+    def parse_duration(text):
+        return int(text) * NS_PER_US
 
     for name, path, convert in (
         ("relays", "balancers", int),
@@ -30,63 +31,64 @@
         ("slots", "family-info.call-slots", int),
         ("room", "permissions.open-cap", int),
         ("legs", "permissions.send-cap", int),
-        ("connect_within", "permissions.connect-timeout", span),
-        ("idle_close", "permissions.idle-close", span),
-        ("cancel", "permissions.cancel", truth),
-        ("copies", "permissions.parallel-tries", truth),
-        ("stay_away", "permissions.max-retry-after", span),
-        ("tick", "tick", span),
-        ("drain_grace", "safety.stop-sending-within", span),
-        ("ask_within", "safety.ask-within", span),
-        ("cold", "safety.cold", span),
+        ("connect_within", "permissions.connect-timeout", parse_duration),
+        ("idle_close", "permissions.idle-close", parse_duration),
+        ("cancel", "permissions.cancel", parse_bool),
+        ("copies", "permissions.parallel-tries", parse_bool),
+        ("stay_away", "permissions.max-retry-after", parse_duration),
+        ("tick", "tick", parse_duration),
+        ("drain_grace", "safety.stop-sending-within", parse_duration),
+        ("ask_within", "safety.ask-within", parse_duration),
+        ("cold", "safety.cold", parse_duration),
         ("cold_from", "safety.cold-from", float),
         ("overload", "safety.overload-factor", float),
-        ("fall", "safety.fall", span),
-        ("turn_gap", "safety.turn-gap", span),
+        ("fall", "safety.fall", parse_duration),
+        ("turn_gap", "safety.turn-gap", parse_duration),
         ("over_share", "over-share-worth", float),
     ):
-        carry(name, path, convert)
-    terms["ask"] = told.get("discovery") == "on_request"
-    terms["rough"] = told.get("weight-source") == "rough"
-    terms["listed_rates"] = told.get("weight-source", "none") != "none"
-    if not truth(told.get("permissions.retry-after", "true")):
+        convert_if_set(name, path, convert)
+    terms["ask"] = settings.get("discovery") == "on_request"
+    terms["rough"] = settings.get("weight-source") == "rough"
+    terms["listed_rates"] = settings.get("weight-source", "none") != "none"
+    if not parse_bool(settings.get("permissions.retry-after", "true")):
         terms["stay_away"] = 0
     kinds, apart, per_call = (
-        listed(told, path) for path in ("kinds", "family-info.routes-apart", "family-info.per-call")
+        parse_list(settings, path) for path in ("kinds", "family-info.routes-apart", "family-info.per-call")
     )
     terms["kinds"] = {
         kind: {
-            "apart": truth(apart[i]) if i < len(apart) else False,
+            "apart": parse_bool(apart[i]) if i < len(apart) else False,
             "per_call": int(per_call[i] or 1) if i < len(per_call) else 1,
         }
         for i, kind in enumerate(kinds)
     }
     terms["customers"] = {}
-    for i in range(int(told.get("parties.count", 0))):
+    for i in range(int(settings.get("parties.count", 0))):
         base = f"parties.{i}."
-        if base + "quota-per-s" in told:
-            terms["customers"][told.get(base + "name", "")] = float(told[base + "quota-per-s"])
+        if base + "quota-per-s" in settings:
+            terms["customers"][settings.get(base + "name", "")] = float(settings[base + "quota-per-s"])
     terms["lanes"] = {}
-    for i in range(int(told.get("grades.count", 0))):
+    for i in range(int(settings.get("grades.count", 0))):
         lane = {}
         for name, key, convert in (
-            ("target", "objective", span),
-            ("deadline", "deadline", span),
+            ("target", "objective", parse_duration),
+            ("deadline", "deadline", parse_duration),
             ("group", "group", str),
             ("effect", "effect", lambda text: EFFECTS.get(text, "non-retriable")),
-            ("window", "window", span),
+            ("window", "window", parse_duration),
             ("value", "worth", float),
             ("late_value", "late-value", float),
-            ("ordered", "by-arrival", truth),
+            ("ordered", "by-arrival", parse_bool),
         ):
-            if f"grades.{i}.{key}" in told:
-                lane[name] = convert(told[f"grades.{i}.{key}"])
-        terms["lanes"][told.get(f"grades.{i}.name", "")] = lane
+            if f"grades.{i}.{key}" in settings:
+                lane[name] = convert(settings[f"grades.{i}.{key}"])
+        terms["lanes"][settings.get(f"grades.{i}.name", "")] = lane
     return terms
 
 
 def paths_of(value, path="", found=None):
-    """Nested settings as paths: a plain list joined by commas, a list of maps as its count and its items."""
+    """Flattens nested settings to a map of paths to texts. A plain list is joined by commas; a list of maps
+    becomes its count and a path for each item."""
     found = {} if found is None else found
     if isinstance(value, dict):
         for name, part in value.items():
@@ -96,11 +98,11 @@
         for i, part in enumerate(value):
             paths_of(part, f"{path}.{i}", found)
     elif isinstance(value, list):
-        found[path] = ",".join(plain(part) for part in value)
+        found[path] = ",".join(format_value(part) for part in value)
     else:
-        found[path] = plain(value)
+        found[path] = format_value(value)
     return found
 
 
-def plain(value):
+def format_value(value):
     return str(value).lower() if isinstance(value, bool) else str(value)
--- a/courseroute/model/types.py
+++ b/courseroute/model/types.py
@@ -88,10 +88,10 @@
     evidence: float = 0.0  # sum of the sequential test
     failing_since: int | None = None  # start of the first failure since the last delivery
     outage_length: int = 0  # how long it last went without a delivery
-    set_aside_at: int = 0  # when it was last set aside
+    ejected_at: int = 0  # when it was last ejected
     not_before: int = 0  # nothing is sent before this time
-    on_trial: bool = False  # was set aside and has delivered nothing since
-    ramp_since: int | None = None  # start of the ramp-up after an outage
+    probing: bool = False  # was ejected and has delivered nothing since
+    slow_start_since: int | None = None  # start of the slow start after an outage
 
 
 @dataclass(slots=True, eq=False)
--- a/tests/test_decide.py
+++ b/tests/test_decide.py
@@ -4,7 +4,7 @@
 import pytest
 from helpers import MS, Relay, S, named
 
-from courseroute.decide import EVIDENCE_BOUND, EXIT_AFTER, HEADROOM_CUT
+from courseroute.decide import EVIDENCE_THRESHOLD, EXIT_AFTER, HEADROOM_CUT
 from courseroute.decisions.final_answer import answer_by
 from courseroute.model.causes import HoldCause
 from courseroute.model.types import Attempt
@@ -262,7 +262,7 @@
     for name in [relay.take()[0] for _ in range(3)]:
         relay.back(name, "unreachable")
     host = relay.relay.hosts["a"]
-    assert host.evidence >= EVIDENCE_BOUND and host.not_before > relay.now and host.on_trial
+    assert host.evidence >= EVIDENCE_THRESHOLD and host.not_before > relay.now and host.probing
     for _ in range(20):
         relay.take()
     sent = len(relay.sends())
@@ -302,7 +302,7 @@
     host.outage_length, host.not_before = first, relay.now
     actions = relay.run(2 * S)
     relay.back(name, "delivered", n=1)
-    assert named(actions, "send") and not host.on_trial and (host.ramp_since is not None) == climbs
+    assert named(actions, "send") and not host.probing and (host.slow_start_since is not None) == climbs
 
 
 @pytest.mark.parametrize("delivered, reported, step, aside", [
@@ -318,7 +318,7 @@
         if delivered:
             d.record_evidence(relay.now, host, "delivered", attempt, False)
         d.record_evidence(relay.now, host, "full", attempt, d.handle_refusal(relay.now, host.route, 0))
-    assert host.on_trial == aside
+    assert host.probing == aside
 
 
 @pytest.mark.parametrize("ending, closes", [("unreachable", True), ("timeout", True), ("full", False)])
@@ -533,7 +533,7 @@
     names = [relay.take()[0] for _ in range(many)]
     for name in names:
         relay.back(name, ending)
-    assert relay.relay.hosts["a"].on_trial == aside
+    assert relay.relay.hosts["a"].probing == aside
 
 
 def test_connections_are_used_no_longer_than_they_last_and_are_trusted_again():
@@ -607,7 +607,7 @@
             elif attempt.started_at >= begun + 4 * S:
                 relay.back(name, "delivered", n)
     host, = relay.relay.hosts.values()
-    assert not host.on_trial and host.outage_length > 3 * S and host.ramp_since is not None
+    assert not host.probing and host.outage_length > 3 * S and host.slow_start_since is not None
 
 
 @pytest.mark.parametrize("age, headroom, bound, aside", [
@@ -620,7 +620,7 @@
              [0.5, 3.0, None, relay.now, relay.now, relay.now, False, wait, 2.0]]]
     relay.tell("recall", told, relay.now - age)
     assert route.headroom == pytest.approx(headroom) and route.wait_until == wait
-    assert (route.refused_at is not None, relay.relay.hosts["a"].on_trial) == (bound, aside)
+    assert (route.refused_at is not None, relay.relay.hosts["a"].probing) == (bound, aside)
 
 
 # Guards against a message taken on with so little time left that its final answer can't come in time.
