--- a/tests/test_decide.py
+++ b/tests/test_decide.py
@@ -115,9 +115,9 @@
     ("once", "timeout", 0, False, "fail"),
     ("once", "reset", 0, False, "fail"),
     ("once", "stale", 0, False, "fail"), ("once", "broken", 0, True, None),
-    ("unknown", "error", 0, False, "fail"),         # a lane never named is taken as non-retriable
+    ("unknown", "error", 0, False, "fail"),         # an unknown lane counts as non-retriable
 ])
-def test_further_legs_only_where_the_lane_allows(lane, ending, later, again, answer):
+def test_further_attempts_only_where_the_lane_allows(lane, ending, later, again, answer):
     relay = Relay(hosts=[("a", 9.0), ("b", 9.0)])
     name, actions = relay.take(lane)
     relay.now += later
@@ -133,7 +133,7 @@
     ("zoned", [(1, None)], None), ("retriable", [(9, None)], "send"),
     ("retriable", [(1, "error")] * 8, "push back"),
 ])
-def test_a_message_of_an_earlier_life_goes_on_as_its_legs_allow(lane, attempts, done):
+def test_a_restored_message_continues_as_its_attempts_allow(lane, attempts, done):
     relay = Relay()
     attempts = [("long gone", relay.now - ago * S, ending) for ago, ending in attempts]
     actions = relay.tell("take", "old", "d", lane, relay.now + 6 * S, None, None, False, attempts)
@@ -257,7 +257,7 @@
     assert named(relay.tell("roster", "changes", [("c", "ready", "z", 4.0, "plain", "d")]), "send")
 
 
-def test_set_aside_by_the_sequential_test_then_one_trial_then_a_climb():
+def test_ejected_host_gets_one_probe_and_then_a_slow_start():
     relay = Relay(hosts=[("a", 4.0)])
     for name in [relay.take()[0] for _ in range(3)]:
         relay.back(name, "unreachable")
@@ -308,7 +308,7 @@
 @pytest.mark.parametrize("delivered, reported, step, aside", [
     (False, None, 1100, True), (True, None, 1100, False), (False, 0.0, 200, True), (True, 0.0, 200, False),
 ])
-def test_who_refuses_all_is_set_aside_and_who_refuses_some_is_not(delivered, reported, step, aside):
+def test_only_a_host_that_refuses_everything_is_ejected(delivered, reported, step, aside):
     relay = Relay()
     d, host = relay.relay, relay.relay.hosts["a"]
     host.route.reported_limit = reported
@@ -447,7 +447,7 @@
 
 
 def test_bookings_of_withdrawn_messages_are_free_again_for_those_behind_them():
-    """Clients that gave up: each dead message would cost a place, and the next ones die waiting."""
+    """Otherwise each message of a client that gave up would use a slot, and later ones would expire."""
     relay = refused_relay()
     relay.run(2 * S)
     relay.back("m1", "delivered", n=1)
@@ -507,7 +507,7 @@
 
 @pytest.mark.parametrize("ending, wait, calls", [("full", 0, (1, 5)), ("full", 2 * S, (0, 0)),
                                                  ("unreachable", 0, (0, 1))])
-def test_a_next_life_does_not_burst_upon_a_host_the_last_one_knew(ending, wait, calls):
+def test_a_restarted_relay_sends_no_burst_to_a_known_host(ending, wait, calls):
     """A restarted relay holds a backlog; without the budget, the wait, the outage it would all go at once."""
     last = Relay(hosts=[("a", None)])
     name, _ = last.take()
@@ -568,7 +568,7 @@
 
 
 def test_a_destination_without_told_limits_returns_at_a_part_of_the_pace_it_had():
-    """Else its return waits for a guess of a third of a send a second, however much it took before."""
+    """Otherwise it returns at an assumed rate of a third of a send a second, whatever it served before."""
     relay = Relay(hosts=(("a", None),), relays=3)
     for _ in range(48):
         name, _ = relay.take()
