--- a/courseroute/command/main.py
+++ b/courseroute/command/main.py
@@ -18,49 +18,52 @@
 from courseroute.command.soak import town_soak
 from courseroute.run.setup import Setup
 
-FILE = click.argument("file", type=click.Path(dir_okay=False))
-FOLDER = click.argument("folder", type=click.Path(exists=True, file_okay=False))
-AS_JSON = click.option("--json", "as_json", is_flag=True, help="Print JSON, for scripts.")
+FILE_ARGUMENT = click.argument("file", type=click.Path(dir_okay=False))
+FOLDER_ARGUMENT = click.argument("folder", type=click.Path(exists=True, file_okay=False))
+JSON_OPTION = click.option("--json", "as_json", is_flag=True, help="Print JSON, for scripts.")
 
 
-class Command(click.Group):
+class CommandGroup(click.Group):
+    """The top-level command group, which reports invalid files without a traceback."""
+
     def invoke(self, ctx):
-        """Prints one line for each mistake of an invalid file, not a traceback, and exits with 2."""
+        """Runs a command. For an invalid file it prints one line per problem and exits with 2."""
         try:
             return super().invoke(ctx)
-        except Bad as cause:
-            click.echo(str(cause), err=True)
+        except Bad as error:
+            click.echo(str(error), err=True)
             ctx.exit(2)
 
 
-@click.group(cls=Command, context_settings={"help_option_names": ["-h", "--help"]})
+@click.group(cls=CommandGroup, context_settings={"help_option_names": ["-h", "--help"]})
 def cli():
-    """Dispatches notifications to outside receivers, and tests this in an emulator."""
+    """Dispatch HTTP messages to destinations, and test this in an emulator."""
 
 
 @cli.command()
 @click.option("--json", "as_json", is_flag=True)
 def version(as_json):
-    """Print the version and what it runs on."""
-    told = {
-        "courseroute": version_of("courseroute"),
+    """Print the versions of courseroute, Python and the libraries."""
+    versions = {
+        "courseroute": installed_version("courseroute"),
         "python": sys.version.split()[0],
-        **{name: version_of(name) for name in ("trio", "h11", "orjson", "msgspec")},
+        **{name: installed_version(name) for name in ("trio", "h11", "orjson", "msgspec")},
     }
-    click.echo(orjson.dumps(told) if as_json else "\n".join(" ".join(pair) for pair in told.items()))
+    click.echo(orjson.dumps(versions) if as_json else "\n".join(" ".join(pair) for pair in versions.items()))
 
 
-def version_of(name):
+def installed_version(name):
+    """The version of an installed package; "missing" if it is not installed."""
     try:
         return metadata.version(name)
-    except metadata.PackageNotFoundError:  # run from a checkout, not installed
+    except metadata.PackageNotFoundError:  # courseroute runs from a source checkout
         return "0.2.0" if name == "courseroute" else "missing"
 
 
 @cli.command()
-@FILE
+@FILE_ARGUMENT
 def serve(file):
-    """Run one relay, set by the configuration FILE."""
+    """Run one relay with the configuration FILE."""
     from courseroute.__main__ import start
     from courseroute.run.logbook import BOOK
 
@@ -72,7 +75,7 @@
 @cli.command()
 @click.argument("shell", type=click.Choice(["bash", "zsh", "fish"]))
 def completion(shell):
-    """Print the completion script for SHELL; source it from your shell's start file."""
+    """Print the completion script for SHELL; source it in your shell's startup file."""
     from click.shell_completion import get_completion_class
 
     click.echo(get_completion_class(shell)(cli, {}, "courseroute", "_COURSEROUTE_COMPLETE").source())
@@ -83,40 +86,40 @@
 
 @cli.group()
 def config():
-    """Look at a relay's configuration."""
+    """Check and show a relay's configuration."""
 
 
 @config.command("check")
-@FILE
+@FILE_ARGUMENT
 def config_check(file):
-    """Name every mistake in FILE; exit 2 where there is one."""
+    """List every problem in FILE; exit with 2 if there is any."""
     setup = made(read(file), Setup, file)
     click.echo(f"{file}: good, relay {setup.name}, {len(setup.lanes)} lanes")
 
 
 @config.command("show")
-@FILE
-@AS_JSON
+@FILE_ARGUMENT
+@JSON_OPTION
 def config_show(file, as_json):
-    """Print FILE as the relay reads it, with all defaults."""
-    told = everything(made(read(file), Setup, file))
-    click.echo(orjson.dumps(told) if as_json else msgspec.toml.encode(told).decode(), nl=False)
+    """Print the effective configuration: FILE with all defaults filled in."""
+    settings = with_defaults(made(read(file), Setup, file))
+    click.echo(orjson.dumps(settings) if as_json else msgspec.toml.encode(settings).decode(), nl=False)
 
 
-def everything(thing):
-    """A Form as a plain map with its defaults; fields without a value are absent."""
-    if isinstance(thing, msgspec.Struct):
+def with_defaults(form):
+    """A Form as a plain map, including default values; fields that are None are left out."""
+    if isinstance(form, msgspec.Struct):
         return {
-            name: everything(value)
-            for name, value in msgspec.structs.asdict(thing).items()
+            name: with_defaults(value)
+            for name, value in msgspec.structs.asdict(form).items()
             if value is not None
         }
-    return {name: everything(value) for name, value in thing.items()} if isinstance(thing, dict) else thing
+    return {name: with_defaults(value) for name, value in form.items()} if isinstance(form, dict) else form
 
 
 @config.command("schema")
 def config_schema():
-    """Print the JSON schema of a configuration."""
+    """Print the JSON schema of the configuration file."""
     click.echo(orjson.dumps(msgspec.json.schema(Setup), option=orjson.OPT_INDENT_2))
 
 
@@ -125,63 +128,67 @@
 
 @cli.group("log")
 def log_group():
-    """Look into a relay's folder."""
+    """Inspect a relay's folder."""
 
 
 @log_group.command("show")
-@FOLDER
-@click.option("--records", is_flag=True, help="Every record, not what is left of them.")
-@AS_JSON
+@FOLDER_ARGUMENT
+@click.option("--records", is_flag=True, help="Print every record instead of the resulting state.")
+@JSON_OPTION
 def log_show(folder, records, as_json):
-    """What FOLDER holds: messages, owed notices, recent ends. Reads only, also of a running relay."""
+    """Print the open messages, pending notices and recent ends in FOLDER.
+
+    Reads only, so the relay may be running.
+    """
     from courseroute.journal import tools
 
-    told = list(tools.rows(folder)) if records else tools.state(folder)
+    content = list(tools.rows(folder)) if records else tools.state(folder)
     if as_json:
-        click.echo(orjson.dumps(told))
+        click.echo(orjson.dumps(content))
     else:
-        (show.records if records else show.state)(told)
+        (show.print_records if records else show.print_state)(content)
 
 
 @cli.group()
 def journal():
-    """Check and mend the journal in a relay's folder."""
+    """Check and repair the journal in a relay's folder."""
 
 
 @journal.command("verify")
-@FOLDER
-@AS_JSON
+@FOLDER_ARGUMENT
+@JSON_OPTION
 def journal_verify(folder, as_json):
-    """Name every stretch that can't be read; exit 1 where there is one."""
+    """List every unreadable byte range; exit with 1 if there is any."""
     from courseroute.journal import tools
 
-    bad = tools.verify(folder)
+    damaged = tools.verify(folder)
     click.echo(
-        orjson.dumps(bad)
+        orjson.dumps(damaged)
         if as_json
-        else "\n".join("{segment}: {kind} at byte {at}, {bytes} bytes".format(**one) for one in bad) or "good"
+        else "\n".join("{segment}: {kind} at byte {at}, {bytes} bytes".format(**item) for item in damaged)
+        or "good"
     )
-    sys.exit(bool(bad))
+    sys.exit(bool(damaged))
 
 
 @journal.command("stat")
-@FOLDER
-@AS_JSON
+@FOLDER_ARGUMENT
+@JSON_OPTION
 def journal_stat(folder, as_json):
-    """Figures of each segment."""
+    """Print the record counts and sizes of each segment."""
     from courseroute.journal import tools
 
-    told = tools.stat(folder)
+    statistics = tools.stat(folder)
     if as_json:
-        click.echo(orjson.dumps(told))
+        click.echo(orjson.dumps(statistics))
     else:
-        show.segments(told)
+        show.print_segments(statistics)
 
 
 @journal.command("dump")
-@FOLDER
+@FOLDER_ARGUMENT
 def journal_dump(folder):
-    """Every record as a JSON line."""
+    """Print every record as a JSON line."""
     from courseroute.journal import tools
 
     for line in tools.lines(folder):
@@ -189,50 +196,52 @@
 
 
 @journal.command("compact")
-@FOLDER
+@FOLDER_ARGUMENT
 @click.option("--disk-mb", default=64.0, show_default=True)
 def journal_compact(folder, disk_mb):
-    """Keep only what is live, in a stopped relay's FOLDER."""
-    before, after = mend(lambda tools: tools.compact(folder, int(disk_mb * 1_000_000)))
+    """Compact a stopped relay's FOLDER to its live records."""
+    before, after = run_offline(lambda tools: tools.compact(folder, int(disk_mb * 1_000_000)))
     click.echo(f"{before} -> {after} bytes")
 
 
 @journal.command("salvage")
-@FOLDER
+@FOLDER_ARGUMENT
 @click.argument("target", type=click.Path(file_okay=False))
 def journal_salvage(folder, target):
-    """Write what can be read of a stopped relay's FOLDER into a fresh folder TARGET."""
-    for one in mend(lambda tools: tools.salvage(folder, target)):
-        click.echo("left out: {segment}: {kind} at byte {at}, {bytes} bytes".format(**one))
+    """Write the readable records of a stopped relay's FOLDER to a new folder TARGET."""
+    for stretch in run_offline(lambda tools: tools.salvage(folder, target)):
+        click.echo("left out: {segment}: {kind} at byte {at}, {bytes} bytes".format(**stretch))
 
 
-def mend(what):
+def run_offline(operation):
+    """Calls `operation` with the journal tools; prints the error and exits with 2 if the folder is in use,
+    has an unsupported version or cannot be accessed."""
     from courseroute.journal import frames, lock, tools
 
     try:
-        return what(tools)
-    except (lock.Held, frames.Newer, OSError) as cause:
-        click.echo(str(cause), err=True)
+        return operation(tools)
+    except (lock.Held, frames.Newer, OSError) as error:
+        click.echo(str(error), err=True)
         sys.exit(2)
 
 
-# The town.
+# The emulator.
 
 
 @cli.group()
 def town():
-    """Play partners, directory, platform, clients and relays on this machine."""
+    """Emulate destinations, discovery, the platform and clients around relays on this machine."""
 
 
 @town.command("check")
-@FILE
-@AS_JSON
+@FILE_ARGUMENT
+@JSON_OPTION
 def town_check(file, as_json):
-    """Name every mistake in a day's FILE; print what the day holds."""
+    """List every problem in a day's FILE; print a summary of the day."""
     from courseroute.town.script import arrivals, destinations, load, strikes
 
     day = load(file)
-    told = {
+    summary = {
         "about": day.about,
         "seed": day.seed,
         "relays": day.relays.count,
@@ -240,53 +249,53 @@
         "destinations": len(destinations(day)),
         "faults": [
             {
-                "kind": one.kind,
-                "begin_ms": one.begin // 10**6,
-                "end_ms": one.end // 10**6,
-                "names": list(one.names),
+                "kind": scheduled.kind,
+                "begin_ms": scheduled.begin // 10**6,
+                "end_ms": scheduled.end // 10**6,
+                "names": list(scheduled.names),
             }
-            for one in strikes(day)
+            for scheduled in strikes(day)
         ],
     }
     click.echo(
-        orjson.dumps(told)
+        orjson.dumps(summary)
         if as_json
         else (
-            f"{file}: good, {told['messages']} messages to {told['destinations']} destinations through "
-            f"{told['relays']} relays, {len(told['faults'])} faults"
+            f"{file}: good, {summary['messages']} messages to {summary['destinations']} destinations through "
+            f"{summary['relays']} relays, {len(summary['faults'])} faults"
         )
     )
 
 
 @town.command("run")
 @click.argument("files", nargs=-1, required=True, type=click.Path(dir_okay=False))
-@click.option("--seed", type=int, help="Another seed than the file's.")
-@click.option("--workers", type=click.IntRange(1, 16), help="Processes of partners and clients.")
-@click.option("--relay", "command", help="Another relay's command line; it reads ROUTER_CONFIG.")
+@click.option("--seed", type=int, help="Override the seed in the file.")
+@click.option("--workers", type=click.IntRange(1, 16), help="Processes that run destinations and clients.")
+@click.option("--relay", "command", help="Command line of another relay, which reads ROUTER_CONFIG.")
 @click.option(
     "--folder",
     type=click.Path(file_okay=False, path_type=Path),
-    help="Where the relays' folders, logs and the ledger are kept; else nothing is.",
+    help="Keep the relays' folders, the logs and the ledger here; without it nothing is kept.",
 )
-@AS_JSON
+@JSON_OPTION
 def town_run(files, seed, workers, command, folder, as_json):
-    """Play each day's FILE. Exit 1 on a broken rule, 3 where the town itself ran late."""
+    """Run the day in each FILE. Exit with 1 if a rule is broken, 3 if the emulator itself ran late."""
     from courseroute.town.script import load
 
     days = [(Path(file), load(file, seed=seed, workers=workers)) for file in files]
-    found = {}
+    reports = {}
     for file, day in days:
-        found[file.stem] = run_one(day, file.stem, command, folder, as_json)
+        reports[file.stem] = run_one_day(day, file.stem, command, folder, as_json)
     if as_json:
-        click.echo(orjson.dumps(found if len(found) > 1 else next(iter(found.values()))))
-    elif len(found) > 1:
-        show.days(found)
-    rows = found.values()
+        click.echo(orjson.dumps(reports if len(reports) > 1 else next(iter(reports.values()))))
+    elif len(reports) > 1:
+        show.print_days(reports)
+    all_reports = reports.values()
     sys.exit(
         1
-        if any(one["broken"] and not one["void"] for one in rows)
+        if any(report["broken"] and not report["void"] for report in all_reports)
         else 3
-        if any(one["void"] for one in rows)
+        if any(report["void"] for report in all_reports)
         else 0
     )
 
@@ -294,28 +303,32 @@
 town.add_command(town_soak)
 
 
-def run_one(day, name, command, folder, quiet):
+def run_one_day(day, name, command, folder, quiet):
+    """Runs a day, prints its report unless `quiet`, and returns the report as a map. Its files are written to
+    `folder`/`name`, or to a temporary folder that is removed if `folder` is None."""
     import trio
 
     from courseroute.town.play import play
     from courseroute.town.report import figures
 
-    kept = folder is not None
-    place = folder / name if kept else Path(tempfile.mkdtemp(prefix="courseroute-town-"))
-    if kept and place.exists() and any(place.iterdir()):
-        raise click.UsageError(f"{place} is not empty")
+    keep = folder is not None
+    day_folder = folder / name if keep else Path(tempfile.mkdtemp(prefix="courseroute-town-"))
+    if keep and day_folder.exists() and any(day_folder.iterdir()):
+        raise click.UsageError(f"{day_folder} is not empty")
     try:
-        with show.live(name, quiet) as watch:
-            result = trio.run(play, day, place, shlex.split(command) if command else None, watch, kept)
-        told = figures(result)
-        if kept:
-            (place / "figures.json").write_bytes(orjson.dumps(told, option=orjson.OPT_INDENT_2))
+        with show.live_progress(name, quiet) as progress:
+            result = trio.run(
+                play, day, day_folder, shlex.split(command) if command else None, progress, keep
+            )
+        report = figures(result)
+        if keep:
+            (day_folder / "figures.json").write_bytes(orjson.dumps(report, option=orjson.OPT_INDENT_2))
         if not quiet:
-            show.day(name, told)
-        return told
+            show.print_day(name, report)
+        return report
     finally:
-        if not kept:
-            shutil.rmtree(place, ignore_errors=True)
+        if not keep:
+            shutil.rmtree(day_folder, ignore_errors=True)
 
 
 if __name__ == "__main__":
--- a/courseroute/command/show.py
+++ b/courseroute/command/show.py
@@ -1,4 +1,4 @@
-"""Output for people: tables on a terminal, the same as plain text if the output is piped."""
+"""Human-readable output: tables on a terminal, the same tables as plain text if the output is piped."""
 
 import contextlib
 import sys
@@ -7,105 +7,121 @@
 from rich.live import Live
 from rich.table import Table
 
-OUT = Console(width=None if sys.stdout.isatty() else 150, highlight=False)
-ENDS = ("messages", "delivered", "pushed back", "returned", "failed", "unanswered", "open")
-MOST_BROKEN = 20
+CONSOLE = Console(width=None if sys.stdout.isatty() else 150, highlight=False)
+OUTCOMES = ("messages", "delivered", "pushed back", "returned", "failed", "unanswered", "open")
+MAX_VIOLATIONS_SHOWN = 20
 
 
 def table(title, columns, rows):
-    made = Table(title=title, title_justify="left", title_style="bold")
+    """A rich table; the first column is left-aligned, None is shown as "-"."""
+    rendered = Table(title=title, title_justify="left", title_style="bold")
     for i, column in enumerate(columns):
-        made.add_column(column, justify="left" if i == 0 else "right", no_wrap=True)
+        rendered.add_column(column, justify="left" if i == 0 else "right", no_wrap=True)
     for row in rows:
-        made.add_row(*("-" if cell is None else str(cell) for cell in row))
-    return made
+        rendered.add_row(*("-" if cell is None else str(cell) for cell in row))
+    return rendered
 
 
-def ends_row(name, row):
+def outcome_row(name, counts):
+    """Table cells of one row of a day's report, in the order of OUTCOME_COLUMNS behind the name."""
     return [
         name,
-        *(row[end] for end in ENDS),
-        row["calls_per_message"],
-        row["refused"],
-        row["p50_ms"],
-        row["p99_ms"],
+        *(counts[outcome] for outcome in OUTCOMES),
+        counts["calls_per_message"],
+        counts["refused"],
+        counts["p50_ms"],
+        counts["p99_ms"],
     ]
 
 
-HEAD = [*ENDS, "calls/msg", "refused", "p50 ms", "p99 ms"]
+OUTCOME_COLUMNS = [*OUTCOMES, "calls/msg", "refused", "p50 ms", "p99 ms"]
 
 
-def day(name, told):
-    """Prints the figures of one day."""
-    OUT.print(
+def print_day(name, report):
+    """Prints the report of one day."""
+    CONSOLE.print(
         table(
-            f"{name}: {told['about']}",
-            ["destination", *HEAD],
+            f"{name}: {report['about']}",
+            ["destination", *OUTCOME_COLUMNS],
             [
-                *(ends_row(dst, row) for dst, row in told["destinations"].items()),
-                ends_row("all", told["all"]),
+                *(outcome_row(destination, row) for destination, row in report["destinations"].items()),
+                outcome_row("all", report["all"]),
             ],
         )
     )
-    OUT.print(table("Lanes", ["lane", *HEAD], [ends_row(lane, row) for lane, row in told["lanes"].items()]))
-    OUT.print(
+    CONSOLE.print(
+        table(
+            "Lanes",
+            ["lane", *OUTCOME_COLUMNS],
+            [outcome_row(lane, row) for lane, row in report["lanes"].items()],
+        )
+    )
+    CONSOLE.print(
         table(
             "Relays",
             ["relay", "lives", "CPU s", "memory kB", "descriptors", "disk kB"],
             [
                 [relay, row["lives"], row["cpu_s"], row["memory_kb"], row["descriptors"], row["disk_kb"]]
-                for relay, row in told["relays_used"].items()
+                for relay, row in report["relays_used"].items()
             ],
         )
     )
-    verdict(told)
+    print_verdict(report)
 
 
-def verdict(told):
-    for one in told["broken"][:MOST_BROKEN]:
-        OUT.print(f"broken at {one['at_ms'] / 1000:.3f} s: {one['rule']}: {one['text']}", markup=False)
-    if len(told["broken"]) > MOST_BROKEN:
-        OUT.print(f"and {len(told['broken']) - MOST_BROKEN} more")
-    if told["void"]:
-        OUT.print(f"void: the town itself ran {told['late_ms']} ms late; this says nothing of the relays")
+def print_verdict(report):
+    """Prints the first rule violations of a day, and whether the day is void or kept all rules."""
+    for violation in report["broken"][:MAX_VIOLATIONS_SHOWN]:
+        CONSOLE.print(
+            f"broken at {violation['at_ms'] / 1000:.3f} s: {violation['rule']}: {violation['text']}",
+            markup=False,
+        )
+    if len(report["broken"]) > MAX_VIOLATIONS_SHOWN:
+        CONSOLE.print(f"and {len(report['broken']) - MAX_VIOLATIONS_SHOWN} more")
+    if report["void"]:
+        CONSOLE.print(
+            f"void: the town itself ran {report['late_ms']} ms late; this says nothing of the relays"
+        )
     else:
-        count = len(told["broken"])
-        OUT.print(f"{count} times a rule was broken" if count else "all rules kept")
+        count = len(report["broken"])
+        CONSOLE.print(f"{count} times a rule was broken" if count else "all rules kept")
 
 
-def days(found):
+def print_days(reports):
     """Prints a table of days, one row each."""
-    OUT.print(
+    CONSOLE.print(
         table(
             "Days",
-            ["day", *HEAD, "service", "rules"],
+            ["day", *OUTCOME_COLUMNS, "service", "rules"],
             [
                 [
-                    *ends_row(name, told["all"]),
-                    told["service"],
+                    *outcome_row(name, report["all"]),
+                    report["service"],
                     "void"
-                    if told["void"]
+                    if report["void"]
                     else "kept"
-                    if not told["broken"]
-                    else f"{len(told['broken'])} broken",
+                    if not report["broken"]
+                    else f"{len(report['broken'])} broken",
                 ]
-                for name, told in found.items()
+                for name, report in reports.items()
             ],
         )
     )
 
 
 @contextlib.contextmanager
-def live(name, quiet):
-    """Yields a callback that updates a table of the destinations while a day runs; else None."""
-    if quiet or not OUT.is_terminal:
+def live_progress(name, quiet):
+    """Yields a callback that updates a table of the destinations while a day runs; None if `quiet` or if the
+    output is no terminal."""
+    if quiet or not CONSOLE.is_terminal:
         yield None
         return
-    with Live(console=OUT, refresh_per_second=4, transient=True) as screen:
-        yield lambda emulation, seconds: screen.update(running(emulation, name, seconds))
+    with Live(console=CONSOLE, refresh_per_second=4, transient=True) as screen:
+        yield lambda emulation, seconds: screen.update(progress_table(emulation, name, seconds))
 
 
-def running(emulation, name, seconds):
+def progress_table(emulation, name, seconds):
+    """Counts of each destination of a running day."""
     rows = {destination.number: [destination.name, 0, 0, 0, 0] for destination in emulation.destinations}
     for msg in emulation.judge.messages.values():
         row = rows[msg.destination]
@@ -121,7 +137,8 @@
     )
 
 
-def state(told):
+def print_state(content):
+    """Prints the open messages, pending notices and recent ends of a relay's folder."""
     rows = [
         [
             name,
@@ -129,19 +146,23 @@
             msg["dst"],
             msg["body"],
             len(msg["legs"]),
-            ", ".join(leg["ending"] or "out" for leg in msg["legs"]),
+            ", ".join(attempt["ending"] or "out" for attempt in msg["legs"]),
         ]
-        for name, msg in told["held"].items()
+        for name, msg in content["held"].items()
     ]
-    OUT.print(table(f"Held: {len(rows)}", ["message", "lane", "dst", "body", "legs", "endings"], rows))
-    OUT.print(table(f"Owed: {len(told['owed'])}", ["message", "state"], told["owed"].items()))
-    OUT.print(f"{len(told['ends'])} recent ends")
-    for one in told["bad"]:
-        OUT.print(f"{one['kind']}: {one['segment']} at byte {one['at']}, {one['bytes']} bytes", markup=False)
+    CONSOLE.print(table(f"Held: {len(rows)}", ["message", "lane", "dst", "body", "legs", "endings"], rows))
+    CONSOLE.print(table(f"Owed: {len(content['owed'])}", ["message", "state"], content["owed"].items()))
+    CONSOLE.print(f"{len(content['ends'])} recent ends")
+    for stretch in content["bad"]:
+        CONSOLE.print(
+            f"{stretch['kind']}: {stretch['segment']} at byte {stretch['at']}, {stretch['bytes']} bytes",
+            markup=False,
+        )
 
 
-def segments(told):
-    OUT.print(
+def print_segments(statistics):
+    """Prints record counts and sizes of each journal segment."""
+    CONSOLE.print(
         table(
             "Segments",
             ["segment", "records", "bytes", "live bytes", "kinds"],
@@ -153,13 +174,16 @@
                     row["live_bytes"],
                     ", ".join(f"{kind} {count}" for kind, count in row["kinds"].items()),
                 ]
-                for name, row in told["segments"].items()
+                for name, row in statistics["segments"].items()
             ],
         )
     )
-    OUT.print(f"{told['held']} held, {told['owed']} owed, {told['ends']} recent ends")
+    CONSOLE.print(f"{statistics['held']} held, {statistics['owed']} owed, {statistics['ends']} recent ends")
 
 
-def records(told):
-    for row in told:
-        OUT.print(" ".join(f"{name}={value}" for name, value in row.items()), markup=False, soft_wrap=True)
+def print_records(records):
+    """Prints one line per journal record."""
+    for record in records:
+        CONSOLE.print(
+            " ".join(f"{name}={value}" for name, value in record.items()), markup=False, soft_wrap=True
+        )
--- a/courseroute/command/soak.py
+++ b/courseroute/command/soak.py
@@ -12,7 +12,9 @@
 from courseroute.command import show
 
 
-class Seeds(click.ParamType):
+class SeedRange(click.ParamType):
+    """A range of seeds, written as first..last."""
+
     name = "A..B"
 
     def convert(self, value, param, ctx):
@@ -20,23 +22,25 @@
 
         try:
             return seeds_of(value)
-        except ValueError as cause:
-            self.fail(f"{value!r} is no range of seeds such as 1..50: {cause}", param, ctx)
+        except ValueError as error:
+            self.fail(f"{value!r} is no range of seeds such as 1..50: {error}", param, ctx)
 
 
 @click.command("soak")
 @click.argument("days", nargs=-1, required=True, type=click.Path(dir_okay=False, exists=True))
-@click.option("--seeds", type=Seeds(), default="1..10", show_default=True, help="First and last seed.")
-@click.option("--jobs", type=click.IntRange(1, 32), default=2, show_default=True, help="Days side by side.")
-@click.option("--relay", help="Another relay's command line; {seed} in it stands for the seed.")
+@click.option("--seeds", type=SeedRange(), default="1..10", show_default=True, help="First and last seed.")
+@click.option(
+    "--jobs", type=click.IntRange(1, 32), default=2, show_default=True, help="Days run in parallel."
+)
+@click.option("--relay", help="Command line of another relay; {seed} is replaced by the seed.")
 @click.option(
     "--folder",
     type=click.Path(file_okay=False, path_type=Path),
-    help="Where days that break a rule are kept; else a new folder of the system's.",
+    help="Keep days that break a rule or fail here; default: a new temporary folder.",
 )
 @click.option("--json", "as_json", is_flag=True, help="Print JSON, for scripts.")
 def town_soak(days, seeds, jobs, relay, folder, as_json):
-    """Play each of the DAYS with each seed. Exit 1 on a broken rule, or where over 5 in 100 days are void."""
+    """Run each of the DAYS with each seed. Exit with 1 if a rule is broken or over 5% of days are void."""
     import trio
 
     from courseroute.town.soak import Plan, soak
@@ -44,7 +48,9 @@
     folder = folder or Path(tempfile.mkdtemp(prefix="courseroute-soak-"))
     plan = Plan(days=days, seeds=seeds, jobs=jobs, folder=folder, relay=relay)
     columns = (TextColumn("{task.description}"), BarColumn(), MofNCompleteColumn(), TimeElapsedColumn())
-    with Progress(*columns, console=show.OUT, disable=as_json or not show.OUT.is_terminal) as progress:
+    with Progress(
+        *columns, console=show.CONSOLE, disable=as_json or not show.CONSOLE.is_terminal
+    ) as progress:
         task = progress.add_task("days", total=len(days) * len(seeds))
         summary = trio.run(soak, plan, lambda played: progress.advance(task))
     if as_json:
@@ -55,6 +61,7 @@
 
 
 def show_summary(summary):
+    """Prints counts of outcomes, broken rules and fault kinds, and how to reproduce each failure."""
     from courseroute.town.soak import MOST_VOID, VOID
 
     for title, counts in (
@@ -63,7 +70,7 @@
         ("Days with a fault of kind", summary.kinds),
     ):
         if counts:
-            show.OUT.print(show.table(title, ["", "count"], sorted(counts.items())))
+            show.CONSOLE.print(show.table(title, ["", "count"], sorted(counts.items())))
     for played in summary.unwell:
         click.echo(f"{played.outcome}: {played.again}  (kept in {played.folder})")
     if summary.outcomes[VOID] > MOST_VOID * summary.outcomes.total():
--- a/courseroute/town/report.py
+++ b/courseroute/town/report.py
@@ -12,19 +12,21 @@
 MS = 1_000_000
 
 
-def by_message(judge):
+def outcomes_by_message(judge):
     """{n: (Message of the first id, delivery time or None, outcome)}, over all ids under which a message was
-    submitted. Abandoned ids count only if they were delivered."""
-    found = {}
+    submitted. Abandoned ids count only if they were delivered.
+
+    `n` numbers the messages of the clients; a retry under a new id has the number of the original."""
+    results = {}
     for msg in judge.messages.values():
-        first, delivered, outcome = found.get(msg.n, (msg, None, "unanswered"))
+        first, delivered, outcome = results.get(msg.n, (msg, None, "unanswered"))
         if msg.delivered_at is not None:
             delivered = min(msg.delivered_at, delivered or msg.delivered_at)
         if msg.submitted_at < first.submitted_at:
             first = msg
         outcome = outcome_of(msg) if outcome_of(msg) != "unanswered" else outcome
-        found[msg.n] = first, delivered, "delivered" if delivered else outcome
-    return found
+        results[msg.n] = first, delivered, "delivered" if delivered else outcome
+    return results
 
 
 def outcome_of(msg):
@@ -37,13 +39,14 @@
 
 
 def figures(result):
-    """The statistics of a DayResult as plain values; times in milliseconds."""
+    """The statistics of a DayResult as plain values: times in milliseconds, except keys that end in `_s`.
+    `service` is the value of the delivered messages as a share of the highest possible value."""
     judge, day = result.judge, result.day
-    messages, names = by_message(judge), {dst.number: dst.name for dst in destinations(day)}
-    calls, refused, waits = Counter(), Counter(), defaultdict(list)
+    messages, names = outcomes_by_message(judge), {dst.number: dst.name for dst in destinations(day)}
+    calls, refused_calls, delivery_times = Counter(), Counter(), defaultdict(list)
     for msg in judge.messages.values():
         calls[msg.destination] += len(msg.calls)
-        refused[msg.destination] += sum(call.status in (429, 503) for call in msg.calls)
+        refused_calls[msg.destination] += sum(call.status in (429, 503) for call in msg.calls)
     outcomes, lanes = defaultdict(Counter), defaultdict(Counter)
     value, max_value = 0.0, 0.0
     for first, delivered, outcome in messages.values():
@@ -52,15 +55,15 @@
         lane = day.lanes[first.lane]
         max_value += lane.value or 1.0
         if delivered:
-            took = delivered - first.submitted_at
-            waits[first.destination].append(took)
-            waits[first.lane].append(took)
-            waits[None].append(took)
+            delivery_time = delivered - first.submitted_at
+            delivery_times[first.destination].append(delivery_time)
+            delivery_times[first.lane].append(delivery_time)
+            delivery_times[None].append(delivery_time)
             target = span(lane.target)
-            in_time = target is None or took <= target
+            in_time = target is None or delivery_time <= target
             value += (lane.value or 1.0) * (1.0 if in_time else lane.late_value or 0.0)
 
-    def row(counts, key, n_calls=None, n_refused=None):
+    def statistics(counts, key, call_count=None, refused_count=None):
         total = sum(counts.values())
         return {
             "messages": total,
@@ -68,15 +71,15 @@
                 outcome: counts[outcome]
                 for outcome in ("delivered", "pushed back", "returned", "failed", "unanswered", "open")
             },
-            "calls_per_message": None if n_calls is None else round(n_calls / max(1, total), 3),
-            "refused": n_refused,
-            **quantiles(waits[key]),
+            "calls_per_message": None if call_count is None else round(call_count / max(1, total), 3),
+            "refused": refused_count,
+            **quantiles(delivery_times[key]),
         }
 
     total_outcomes = Counter()
     for counts in outcomes.values():
         total_outcomes.update(counts)
-    broken = Counter(one.rule for one in judge.broken)
+    broken_counts = Counter(violation.rule for violation in judge.broken)
     return {
         "about": day.about,
         "seed": day.seed,
@@ -85,15 +88,16 @@
         "void": judge.void,
         "late_ms": judge.max_delay // MS,
         "service": round(value / max_value, 4) if max_value else None,
-        "all": row(total_outcomes, None, sum(calls.values()), sum(refused.values())),
+        "all": statistics(total_outcomes, None, sum(calls.values()), sum(refused_calls.values())),
         "destinations": {
-            names[dst]: row(outcomes[dst], dst, calls[dst], refused[dst]) for dst in sorted(outcomes)
+            names[dst]: statistics(outcomes[dst], dst, calls[dst], refused_calls[dst])
+            for dst in sorted(outcomes)
         },
-        "lanes": {name: row(lanes[name], name) for name in sorted(lanes)},
-        "rules": {rule: broken[rule] for rule in RULES},
+        "lanes": {name: statistics(lanes[name], name) for name in sorted(lanes)},
+        "rules": {rule: broken_counts[rule] for rule in RULES},
         "broken": [
-            {"rule": one.rule, "at_ms": (one.at - result.start) // MS, "text": one.text}
-            for one in judge.broken
+            {"rule": violation.rule, "at_ms": (violation.at - result.start) // MS, "text": violation.text}
+            for violation in judge.broken
         ],
         "relays_used": {
             relay.name: relay.peak_usage | {"cpu_s": round(relay.cpu, 2), "lives": relay.start_count}
@@ -104,7 +108,7 @@
 
 
 def quantiles(times):
-    """Median and 99th percentile of times in nanoseconds, in total_outcomes milliseconds, rounded up."""
+    """Median and 99th percentile of times in nanoseconds, in milliseconds, rounded up; None without times."""
     if not times:
         return {"p50_ms": None, "p99_ms": None}
     median, p99 = np.quantile(np.array(times), (0.5, 0.99))
