--- a/tests/test_town.py
+++ b/tests/test_town.py
@@ -1,4 +1,4 @@
-"""The emulator on sockets: its faults, the violations that it detects, the relay where faults coincide, and
+"""The emulator on sockets: its faults, the violations that it detects, the relay under coinciding faults, and
 the command line."""
 
 import itertools
@@ -23,10 +23,11 @@
 from courseroute.town.soak import Plan, seeds_of, soak
 
 ROOT = Path(__file__).parent.parent
-HARD_CASES = 4
-MAX_RUNS = 4  # runs within which each hard case must occur; whether calls coincide depends on the machine
+HARD_CASE_COUNT = 4
+# Each hard case must occur within this many runs: whether calls coincide depends on the machine's timing.
+MAX_RUNS = 4
 LANE = {"target": "2s", "deadline": "2500ms"}
-SMALL = {
+BASE_DAY = {
     "lasts": "3s",
     "partners": {"p": {"count": 2, "hosts": 2, "pace": "20ms"}},
     "traffic": {"rate": 25.0, "keys": 2, "again": 0, "lanes": {"notice": 1.0}},
@@ -60,8 +61,9 @@
     return {"kind": kind, "at": at, "where": "p-*"} | ({} if "lasts" in more else {"lasts": "2s"}) | more
 
 
-def played(tmp_path, told, command=None, **parts):
-    day = made(SMALL | told, Day)
+def run_and_report(tmp_path, changes, command=None, **parts):
+    """(report, DayResult) of BASE_DAY with `changes`; with `command`, on tests/wrong_relay.py in that mode."""
+    day = made(BASE_DAY | changes, Day)
     command = command and [sys.executable, str(ROOT / "tests/wrong_relay.py"), command]
     os.environ["PYTHONPATH"] = str(ROOT)
     result = trio.run(play, day, tmp_path / "town", command)
@@ -69,11 +71,11 @@
 
 
 def lanes(*names):
-    return {"traffic": SMALL["traffic"] | {"lanes": dict.fromkeys(names, 1.0)}}
+    return {"traffic": BASE_DAY["traffic"] | {"lanes": dict.fromkeys(names, 1.0)}}
 
 
 @pytest.mark.parametrize(
-    "mode, told, rule",
+    "mode, changes, rule",
     [
         ("loses", {}, "one final answer"),
         ("sends on after the end", {}, "one final answer"),
@@ -96,63 +98,66 @@
         ("strays", {}, "unchanged"),
     ],
 )
-def test_a_relay_that_breaks_a_rule_is_caught(tmp_path, mode, told, rule):
-    found, _ = played(tmp_path, told, mode)
-    assert found["rules"][rule] and not found["void"], found["broken"]
+def test_a_relay_that_breaks_a_rule_is_caught(tmp_path, mode, changes, rule):
+    report, _ = run_and_report(tmp_path, changes, mode)
+    assert report["rules"][rule] and not report["void"], report["broken"]
 
 
-def test_a_relay_that_is_right_breaks_nothing_and_the_ledger_tells_all(tmp_path):
-    found, result = played(tmp_path, {"workers": 2}, "null")
-    assert not found["broken"] and found["all"]["delivered"] == found["all"]["messages"] > 40
+def test_a_correct_relay_breaks_no_rule_and_the_ledger_is_complete(tmp_path):
+    report, result = run_and_report(tmp_path, {"workers": 2}, "null")
+    assert not report["broken"] and report["all"]["delivered"] == report["all"]["messages"] > 40
     rows = [json.loads(line) for line in (tmp_path / "town/ledger.jsonl").read_text().splitlines()]
     assert [row["at"] for row in rows] == sorted(row["at"] for row in rows)
-    assert sum(row["what"] == "ran" for row in rows) == found["all"]["messages"]
+    assert sum(row["what"] == "ran" for row in rows) == report["all"]["messages"]
     assert result.relays[0].peak_usage["memory_kb"] > 1000
 
 
 def hard_cases(rows):
-    """The hard cases that occurred, according to the ledger."""
-    at, calls, found = {}, {}, set()
+    """The hard cases that occurred according to the ledger, as a set of their descriptions."""
+    times, calls, cases = {}, {}, set()
     for row in rows:
-        what = row["what"]
-        if what == "fault":
-            at.setdefault(row["kind"], []).append(row["at"])
-        elif what == "relay" and row["now"] in ("kill", "ready"):
-            at.setdefault((row["relay"], row["now"]), []).append(row["at"])
-        elif what == "answer" and row["status"] == 202:
+        kind = row["what"]
+        if kind == "fault":
+            times.setdefault(row["kind"], []).append(row["at"])
+        elif kind == "relay" and row["now"] in ("kill", "ready"):
+            times.setdefault((row["relay"], row["now"]), []).append(row["at"])
+        elif kind == "answer" and row["status"] == 202:
             calls[row["id"]] = [row["relay"], row["at"], []]
-        elif what == "call":
-            one = calls.setdefault(row["id"], [row["relay"], row["at"], []])
-            one[2].append(row | {"end": None, "ran": None, "cause": ""})
-        elif what in ("reply", "broke", "ran"):
-            for _, _, legs in calls.values():
-                for leg in legs:
-                    if leg["c"] == row["c"]:
-                        leg["ran" if what == "ran" else "end"] = row["at"]
-                        leg["cause"] = row.get("cause", "") or row.get("by", "") or leg["cause"]
-    refused, killed = at["refuse"][0], at["n0", "kill"][0]
+        elif kind == "call":
+            entry = calls.setdefault(row["id"], [row["relay"], row["at"], []])
+            entry[2].append(row | {"end": None, "ran": None, "cause": ""})
+        elif kind in ("reply", "broke", "ran"):
+            for _, _, attempts in calls.values():
+                for attempt in attempts:
+                    if attempt["c"] == row["c"]:
+                        attempt["ran" if kind == "ran" else "end"] = row["at"]
+                        attempt["cause"] = row.get("cause", "") or row.get("by", "") or attempt["cause"]
+    refused, killed = times["refuse"][0], times["n0", "kill"][0]
     if abs(refused - killed) < 20 * 10**6:
-        found.add("a refusal and a SIGKILL in one instant")
-    for relay, taken, legs in calls.values():
-        kills = [kill for kill in at.get((relay, "kill"), ()) if kill > taken]
-        if kills and legs and legs[0]["at"] > kills[0]:
-            found.add("killed between its 202 and its first call")
-        for first, then in itertools.pairwise(legs):
+        cases.add("a refusal and a SIGKILL in one instant")
+    for relay, accepted_at, attempts in calls.values():
+        kills = [kill for kill in times.get((relay, "kill"), ()) if kill > accepted_at]
+        if kills and attempts and attempts[0]["at"] > kills[0]:
+            cases.add("killed between its 202 and its first call")
+        for first, second in itertools.pairwise(attempts):
             late = first["ran"] and first["end"] and first["end"] < first["ran"]
-            if late and first["cause"] == "relay" and then["cause"] == "repeat":
-                found.add("an answer too late, then the repeat")
+            if late and first["cause"] == "relay" and second["cause"] == "repeat":
+                cases.add("an answer too late, then the repeat")
         if any(
-            leg["end"] and leg["cause"] == "host" and abs(leg["end"] - at["replace"][0]) < 20 * 10**6
-            for leg in legs
+            attempt["end"]
+            and attempt["cause"] == "host"
+            and abs(attempt["end"] - times["replace"][0]) < 20 * 10**6
+            for attempt in attempts
         ):
-            found.add("replaced under its address mid-call")
-    return found
+            cases.add("replaced under its address mid-call")
+    return cases
 
 
 @pytest.mark.parametrize("name", ["hard", "restarts", "partners"])
-def test_the_relay_keeps_every_rule_where_faults_meet(tmp_path, name):
-    """Coinciding faults; restarts, a pause, a lost folder, a moved directory; partners that fail each way."""
-    days = {
+def test_the_relay_keeps_every_rule_under_coinciding_faults(tmp_path, name):
+    """Three days: faults at the same instant; restarts, a pause, a lost folder and a moved directory;
+    destinations that fail in each way."""
+    fault_sets = {
         "hard": [
             fault("refuse", "500ms", where="p-0"),
             fault("kill", "500ms", where="n0"),
@@ -181,47 +186,47 @@
             fault("disk-full", where="n0", lasts="1s"),
         ],
     }
-    deadline = "7s" if name == "hard" else "4s"  # less and hosts taken out of use are not retried in time
-    told = {
+    deadline = "7s" if name == "hard" else "4s"  # with less, ejected hosts are not retried in time
+    changes = {
         "relays": {"count": 3},
-        "fault": days[name],
-        "partners": {"p": SMALL["partners"]["p"] | {"count": 3}},
-        "traffic": SMALL["traffic"]
+        "fault": fault_sets[name],
+        "partners": {"p": BASE_DAY["partners"]["p"] | {"count": 3}},
+        "traffic": BASE_DAY["traffic"]
         | {
             "rate": 60.0,
             "again": 3,
             "keys": 10,
             "lanes": dict.fromkeys(("notice", "order", "once", "turn"), 1.0),
         },
-        "lanes": {lane: form | {"deadline": deadline} for lane, form in SMALL["lanes"].items()},
+        "lanes": {lane: settings | {"deadline": deadline} for lane, settings in BASE_DAY["lanes"].items()},
     }
-    met = set()
+    occurred = set()
     for seed in range(1, 1 + (MAX_RUNS if name == "hard" else 1)):
-        found, result = played(tmp_path / str(seed), told | {"seed": seed})
-        assert found["void"] or not found["broken"], found["broken"]
-        assert found["all"]["delivered"] > 0.5 * found["all"]["messages"]
-        met |= hard_cases(result.rows) if name == "hard" else set()
-        if len(met) == HARD_CASES:
+        report, result = run_and_report(tmp_path / str(seed), changes | {"seed": seed})
+        assert report["void"] or not report["broken"], report["broken"]
+        assert report["all"]["delivered"] > 0.5 * report["all"]["messages"]
+        occurred |= hard_cases(result.rows) if name == "hard" else set()
+        if len(occurred) == HARD_CASE_COUNT:
             break
-    assert name != "hard" or len(met) == HARD_CASES, met
+    assert name != "hard" or len(occurred) == HARD_CASE_COUNT, occurred
 
 
 def test_a_day_is_void_if_an_emulator_process_was_paused(tmp_path):
     stopped = []
 
-    def watch(emulation, seconds):
+    def pause_worker(emulation, seconds):
         if seconds > 1 and not stopped:
             stopped.append(os.kill(emulation.workers[0].pid, signal.SIGSTOP))
             threading.Timer(0.6, os.kill, (emulation.workers[0].pid, signal.SIGCONT)).start()
 
-    day = made(SMALL, Day)
-    assert trio.run(play, day, tmp_path / "town", None, watch).judge.void
+    day = made(BASE_DAY, Day)
+    assert trio.run(play, day, tmp_path / "town", None, pause_worker).judge.void
 
 
 def test_a_restart_during_a_directory_outage_uses_the_saved_list(tmp_path):
     faults = [fault("directory-down", "700ms", lasts="6s"), fault("kill", "1s", where="n0")]
-    found, _ = played(tmp_path, {"fault": faults, "traffic": SMALL["traffic"] | {"again": 5}})
-    assert found["all"]["delivered"] >= 0.9 * found["all"]["messages"] and not found["broken"]
+    report, _ = run_and_report(tmp_path, {"fault": faults, "traffic": BASE_DAY["traffic"] | {"again": 5}})
+    assert report["all"]["delivered"] >= 0.9 * report["all"]["messages"] and not report["broken"]
 
 
 def test_every_example_day_is_valid_and_they_differ():
@@ -232,9 +237,9 @@
 # The command line.
 
 
-def run(*words, **more):
+def run_command(*arguments, **more):
     return subprocess.run(
-        [sys.executable, "-m", "courseroute", *map(str, words)],
+        [sys.executable, "-m", "courseroute", *map(str, arguments)],
         cwd=ROOT,
         text=True,
         capture_output=True,
@@ -243,11 +248,13 @@
     )
 
 
-BAD = 'seed = "x"\nlast = "3s"\n[partners.p]\npace = 4\n[traffic]\nlanes = {}\n[lanes.a]\ndeadline = "1s"\n'
+INVALID_DAY = (
+    'seed = "x"\nlast = "3s"\n[partners.p]\npace = 4\n[traffic]\nlanes = {}\n[lanes.a]\ndeadline = "1s"\n'
+)
 
 
 @pytest.mark.parametrize(
-    "words, code, out, err",
+    "arguments, code, out, err",
     [
         (["town", "check", "examples/calm.toml"], 0, "317 messages", ""),
         (["town", "check", "bad.toml"], 2, "", "partners.p.pace: found 4; allowed: a number and a unit"),
@@ -264,57 +271,75 @@
         (["serve", "bad.toml"], 2, "", "bad.toml: listen: found nothing"),
     ],
 )
-def test_the_command_line_reports_results_and_errors_without_a_traceback(tmp_path, words, code, out, err):
-    (tmp_path / "bad.toml").write_text(BAD)
+def test_the_command_line_reports_results_and_errors_without_a_traceback(tmp_path, arguments, code, out, err):
+    (tmp_path / "bad.toml").write_text(INVALID_DAY)
     (tmp_path / "relay.toml").write_text(
         'name = "r1"\nlisten = "127.0.0.1:1"\ndirectory = "127.0.0.1:2"\nstate = "s"\n'
         '[lanes.a]\ntarget = "2s"\n'
     )
-    words = [tmp_path / word if (tmp_path / word).exists() else word for word in words]
-    told = run(*words)
-    assert told.returncode == code and out in told.stdout and err in told.stderr, told.stderr
-    assert "Traceback" not in told.stderr
+    arguments = [
+        tmp_path / argument if (tmp_path / argument).exists() else argument for argument in arguments
+    ]
+    process = run_command(*arguments)
+    assert process.returncode == code and out in process.stdout and err in process.stderr, process.stderr
+    assert "Traceback" not in process.stderr
 
 
 def test_the_folder_of_an_interrupted_day_can_be_inspected_and_repaired(tmp_path):
-    day = tmp_path / "day.toml"
-    day.write_text(
+    day_file = tmp_path / "day.toml"
+    day_file.write_text(
         f'base = "{ROOT}/examples/calm.toml"\nlasts = "4s"\n[[fault]]\nkind = "shut"\n'
         'at = "100ms"\nlasts = "9s"\nwhere = "*"\n[lanes.notice]\ndeadline = "6s"\n'
     )
     process = subprocess.Popen(
-        [sys.executable, "-m", "courseroute", "town", "run", day, "--json", "--folder", tmp_path / "kept"],
+        [
+            sys.executable,
+            "-m",
+            "courseroute",
+            "town",
+            "run",
+            day_file,
+            "--json",
+            "--folder",
+            tmp_path / "kept",
+        ],
         cwd=ROOT,
         stdout=subprocess.PIPE,
         text=True,
     )
-    log = tmp_path / "kept/day/n0/state"
-    seen = {}
-    for _ in range(60):  # reads the folder of a running relay
+    folder = tmp_path / "kept/day/n0/state"
+    state = {}
+    for _ in range(60):  # the folder is read while the relay runs
         trio.run(trio.sleep, 0.1)
-        if log.exists() and list(log.glob("seg-*")):
-            told = run("log", "show", log, "--json")
-            seen = json.loads(told.stdout)
-            if seen["held"]:
+        if folder.exists() and list(folder.glob("seg-*")):
+            shown = run_command("log", "show", folder, "--json")
+            state = json.loads(shown.stdout)
+            if state["held"]:
                 break
-    name, held = next(iter(seen["held"].items()))
+    name, held = next(iter(state["held"].items()))
     assert held["lane"] in ("notice", "order", "once") and "-" in name
-    assert "kind=taken" in run("log", "show", log, "--records").stdout
-    assert run("journal", "verify", log).stdout == "good\n" and "live" in run("journal", "stat", log).stdout
-    assert "a relay runs on it" in run("journal", "compact", log).stderr
+    assert "kind=taken" in run_command("log", "show", folder, "--records").stdout
+    assert (
+        run_command("journal", "verify", folder).stdout == "good\n"
+        and "live" in run_command("journal", "stat", folder).stdout
+    )
+    assert "a relay runs on it" in run_command("journal", "compact", folder).stderr
     config = tmp_path / "kept/day/n0/relay.toml"
-    assert "good, relay n0" in run("config", "check", config).stdout
-    place = tuple(tomllib.loads(config.read_text())["listen"].split(":"))
-    process.send_signal(signal.SIGTERM)  # interrupted, it leaves no process behind
+    assert "good, relay n0" in run_command("config", "check", config).stdout
+    address = tuple(tomllib.loads(config.read_text())["listen"].split(":"))
+    process.send_signal(signal.SIGTERM)  # an interrupted day leaves no process behind
     assert process.wait(10) != 0
     with pytest.raises(ConnectionRefusedError):
-        socket.create_connection(place, timeout=1)
-    assert " -> " in run("journal", "compact", log).stdout
-    assert run("journal", "salvage", log, tmp_path / "fresh").returncode == 0
-    assert json.loads(run("journal", "dump", tmp_path / "fresh").stdout.splitlines()[0])["kind"] == "taken"
+        socket.create_connection(address, timeout=1)
+    assert " -> " in run_command("journal", "compact", folder).stdout
+    assert run_command("journal", "salvage", folder, tmp_path / "fresh").returncode == 0
+    assert (
+        json.loads(run_command("journal", "dump", tmp_path / "fresh").stdout.splitlines()[0])["kind"]
+        == "taken"
+    )
 
 
-PLAYED = """
+FAKE_RUN_CODE = """
 import pathlib, sys
 folder, seed = sys.argv[sys.argv.index("--folder") + 1], sys.argv[sys.argv.index("--seed") + 1]
 pathlib.Path(folder).mkdir(parents=True)
@@ -334,18 +359,18 @@
         jobs=2,
         folder=tmp_path,
         relay="other {seed}",
-        program=(sys.executable, "-c", PLAYED),
+        program=(sys.executable, "-c", FAKE_RUN_CODE),
     )
     summary = trio.run(soak, plan)
     assert summary.outcomes == {"kept": 1, "broken": 1, "void": 1, "failed": 1} and not summary.is_good()
     assert summary.rules == {"one final answer": 1} and max(summary.kinds.values()) == 3
-    broken, failed = sorted(summary.unwell, key=lambda played: played.seed)
+    broken, failed = sorted(summary.unwell, key=lambda run: run.seed)
     assert broken.again == f"courseroute town run {day} --seed 2 --relay 'other 2'"
     assert {file.name for file in tmp_path.iterdir()} == {"late-answers-2", "late-answers-4"}
     assert (Path(failed.folder) / "errors").read_text() == "no such thing\n"
 
 
-FAULTY = """
+FAULT_PROBE_CODE = """
 import json, os, time
 def write():
     try:
@@ -366,10 +391,10 @@
 def test_faults_inside_a_process_begin_and_end_while_it_runs(tmp_path):
     (tmp_path / "faults.json").write_text("{}")
     environ = os.environ | {"PYTHONPATH": str(SHIMS), "FAULTS_FILE": str(tmp_path / "faults.json")}
-    told = subprocess.run(
-        [sys.executable, "-c", FAULTY], cwd=tmp_path, env=environ, capture_output=True, text=True
+    process = subprocess.run(
+        [sys.executable, "-c", FAULT_PROBE_CODE], cwd=tmp_path, env=environ, capture_output=True, text=True
     )
-    assert json.loads(told.stdout) == [1, "failed", 1, -3600], told.stderr
+    assert json.loads(process.stdout) == [1, "failed", 1, -3600], process.stderr
 
 
 def test_the_relay_imports_no_library_of_the_command_line_tools():
@@ -378,5 +403,5 @@
         "'structlog', 'psutil', 'asyncio', 'courseroute.town', 'courseroute.command') "
         "if name in sys.modules])"
     )
-    told = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True)
-    assert told.stdout.strip() == "[]"
+    process = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True)
+    assert process.stdout.strip() == "[]"
