--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""The one file of helpers: a relay under hand-held time, and a real one among stand-ins."""
+"""Helpers of the tests: a Dispatcher under simulated time, and a relay process among scripted peers."""
 
 import contextlib
 import http.client
@@ -25,8 +25,14 @@
 
 
 class Relay:
-    def __init__(self, hosts=(("a", 4.0),), kind="plain", **terms):
-        told = {
+    """Drives a Dispatcher under simulated time: calls its methods and records the actions that it returns.
+
+    `hosts`: pairs of a host name and its rate; all are ready, in zone "z", of destination "d". `seen` lists
+    the actions, each preceded by its time in nanoseconds.
+    """
+
+    def __init__(self, hosts=(("a", 4.0),), kind="plain", **changes):
+        settings = {
             "slots": 8,
             "room": 40,
             "legs": 8,
@@ -41,40 +47,44 @@
             "kinds": {"plain": {"apart": False, "per_call": 1}, "apart": {"apart": True, "per_call": 5}},
         }
         self.now, self.n, self.seen = 1000 * S, 0, []
-        self.relay = Dispatcher(7, told | terms)
+        self.relay = Dispatcher(7, settings | changes)
         self.tell("start")
         self.tell("roster", "full", [(name, "ready", "z", rate, kind, "d") for name, rate in hosts])
 
-    def tell(self, what, *told):
-        acts = getattr(self.relay, what)(self.now, *told) + self.relay.settle(self.now)
-        self.seen += [(self.now, *act) for act in acts]
-        return [act for act in acts if act[0] not in ("wake", "log")]
+    def tell(self, method, *arguments):
+        """Calls a method of the Dispatcher; returns the actions apart from wake-ups and log events."""
+        actions = getattr(self.relay, method)(self.now, *arguments) + self.relay.settle(self.now)
+        self.seen += [(self.now, *action) for action in actions]
+        return [action for action in actions if action[0] not in ("wake", "log")]
 
     def take(self, lane="retriable", key=None, left=16 * S, dst="d"):
+        """Submits a message; returns its id and the actions."""
         self.n += 1
         return f"m{self.n}", self.tell("take", f"m{self.n}", dst, lane, self.now + left, key, None, False)
 
     def back(self, name, ending, n=0, host="a", wait=0, over=None, took=100 * MS, report=None):
+        """Reports the outcome of attempt `n` of a message; returns the actions."""
         over = ending == "delivered" if over is None else over
         return self.tell("outcome", name, n, host, ending, took, wait, report, over)
 
     def run(self, span, step=5 * MS):
-        """Lets time pass, a wake-up each step; returns what was done."""
-        done, end = [], self.now + span
+        """Advances the time by `span` with a wake-up at each step; returns the actions."""
+        actions_taken, end = [], self.now + span
         while self.now < end:
             self.now += step
-            done += self.tell("wake")
-        return done
+            actions_taken += self.tell("wake")
+        return actions_taken
 
     def sends(self):
-        return [act for act in self.seen if act[1] == "send"]
+        return [action for action in self.seen if action[1] == "send"]
 
 
-def named(acts, what):
-    return [act for act in acts if act[0] == what]
+def named(actions, kind):
+    """The actions of one kind."""
+    return [action for action in actions if action[0] == kind]
 
 
-# For integration tests: the program in a process of its own, stand-ins for hosts and platform on loopback.
+# For integration tests: the relay in a process of its own, scripted hosts and platform on loopback.
 
 ROOT = Path(__file__).parent.parent
 GRADES = [
@@ -120,26 +130,27 @@
 
 
 def address_of_worker():
-    """A loopback address that no other test process uses: a relay's port is free while the relay is down, and
-    another test's relay on it would get this one's messages."""
+    """A loopback address that no other test process uses. A relay's port is free while the relay is down; if
+    another test's relay bound it then, that relay would receive this test's messages."""
     worker = os.environ.get("PYTEST_XDIST_WORKER", "gw0").removeprefix("gw")
     return f"127.40.{worker}.1"
 
 
 class Town(ScriptedTown):
-    """A scripted town with one relay beside it, started as the deploy file has it."""
+    """Scripted hosts and platform, and one relay that is started with the command of the deploy file."""
 
     def __init__(self, folder, limits=None, known=True, slots=8, hosts=("h1", "h2")):
         super().__init__(hosts)
         self.folder, self.relay, self.known = folder, None, known
-        with socket.socket() as free:
-            free.bind((address_of_worker(), 0))
-            self.relay_place = free.getsockname()
+        with socket.socket() as free_socket:
+            free_socket.bind((address_of_worker(), 0))
+            self.relay_place = free_socket.getsockname()
         (folder / "state").mkdir()
         self.limits = {"cores": 1.0, "memory_mb": 192, "sockets": 1024, "disk_mb": 3} | (limits or {})
         self.settings = SETTINGS | {"family-info": SETTINGS["family-info"] | {"call-slots": slots}}
 
     def configure(self):
+        """Writes the relay's configuration file."""
         known = {"index": 1, "snapshot": True, "endpoints": self.entries()} if self.known else None
         config = {
             "name": "n0",
@@ -153,7 +164,10 @@
         (self.folder / "config.json").write_text(json.dumps(config))
 
     def start(self, wait=True, **faults):
-        """`faults`: variables that courseroute/town/shims/sitecustomize.py heeds, as wall_clock_step_s=-2."""
+        """Starts the relay; with `wait`, returns whether it became ready in time.
+
+        `faults`: variables of courseroute/town/shims/sitecustomize.py, such as wall_clock_step_s=-2.
+        """
         self.configure()
         env = {"ROUTER_CONFIG": str(self.folder / "config.json"), "ROUTER_STATE": str(self.folder / "state")}
         if faults:
@@ -171,18 +185,19 @@
         return not wait or until(lambda: self.ask("GET", "/ready")[0] == 200)
 
     def ask(self, method, path, headers=None, body=b"", within=2):
-        """(status, headers) of the answer; (0, {}) where the connection gave none."""
-        conn = http.client.HTTPConnection(*self.relay_place, timeout=within)
+        """(status, headers) of the answer; (0, {}) if none came."""
+        connection = http.client.HTTPConnection(*self.relay_place, timeout=within)
         try:
-            conn.request(method, path, body, headers or {})
-            answer = conn.getresponse()
+            connection.request(method, path, body, headers or {})
+            answer = connection.getresponse()
             return answer.status, dict(answer.getheaders())
         except (OSError, http.client.HTTPException):
             return 0, {}
         finally:
-            conn.close()
+            connection.close()
 
     def hand_in(self, name, lane="notice", body=b"x", left="8000m", **more):
+        """Submits a message with a POST; returns the status, 0 without an answer."""
         headers = {
             "X-Request-Id": name,
             "X-Class": lane,
@@ -194,59 +209,64 @@
         return self.ask("POST", f"/{lane}", headers | more, body)[0]
 
     def raw(self, data, within=3.0):
-        """Sends bytes as they are; what came back until the end, or until time is up."""
+        """Sends raw bytes, or a list of byte strings and pauses in seconds; returns the bytes that came back
+        until the connection ended or timed out."""
         with socket.create_connection(self.relay_place, timeout=within) as sock:
-            got = b""
+            received = b""
             try:
                 for part in data if isinstance(data, list) else [data]:
                     time.sleep(part) if isinstance(part, float) else sock.sendall(part)
                 while part := sock.recv(65536):
-                    got += part
+                    received += part
                     sock.settimeout(0.2)
             except OSError:
                 pass
-            return got
+            return received
 
     def sent(self, name):
+        """The calls that hosts received for a message."""
         return [call for call in self.calls if call["id"] == name]
 
     def events(self):
+        """The relay's log events."""
         return [json.loads(line) for line in (self.folder / "out").read_bytes().splitlines()]
 
-    def end(self, how=signal.SIGKILL):
+    def end(self, signal_number=signal.SIGKILL):
+        """Ends the relay with a signal; returns its exit code, None if it was not running."""
         if self.relay:
-            self.relay.send_signal(how)
-            code = self.relay.wait(10)
+            self.relay.send_signal(signal_number)
+            exit_code = self.relay.wait(10)
             self.relay = None
             self.log.close()
-            return code
+            return exit_code
 
     def close(self):
         self.end()
         super().close()
 
 
-def until(true, within=6.0):
+def until(condition, within=6.0):
+    """Waits until `condition()` is true, at most `within` seconds; returns whether it is."""
     end = time.time() + within
     while time.time() < end:
-        if true():
+        if condition():
             return True
         time.sleep(0.02)
-    return bool(true())
+    return bool(condition())
 
 
-def until_in_running_time(true, within):
-    """As `until`, but time in which this machine held the test up counts no more than the sleep it was in."""
+def until_in_running_time(condition, within):
+    """Like `until`, but counts only its own sleeps, so delays of the test machine do not use up the time."""
     step = 0.02
     for _ in range(int(within / step)):
-        if true():
+        if condition():
             return True
         time.sleep(step)
-    return bool(true())
+    return bool(condition())
 
 
 def bytes_in(folder):
-    """Bytes in a folder; a file may go while they are counted."""
+    """Total size of the files in a folder; files that are removed meanwhile are skipped."""
     size = 0
     for file in folder.iterdir():
         with contextlib.suppress(FileNotFoundError):
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -1,4 +1,4 @@
-"""The program itself, started as the deploy file has it and spoken to over sockets."""
+"""The relay as a process, started with the command of the deploy file and used over sockets."""
 import contextlib
 import http.client
 import itertools
@@ -20,35 +20,35 @@
     town.close()
 
 
-def test_a_message_is_taken_on_and_passed_on_unchanged(town):
+def test_an_accepted_message_is_delivered_unchanged(town):
     town.start()
     body = bytes(range(256)) * 200
     assert town.hand_in("a", "order", body) == 202
     assert until(lambda: town.calls)
     call, = town.calls
     assert (call["id"], call["key"], call["body"]) == ("a", "k-a", body)
-    assert town.hand_in("a", "order", body) in (200, 202)       # its answer may have been lost
+    assert town.hand_in("a", "order", body) in (200, 202)       # resubmitted as if the answer was lost
     time.sleep(0.2)
     assert len(town.calls) == 1 and not town.notices
 
 
-@pytest.mark.parametrize("lane, plan, again", [
+@pytest.mark.parametrize("lane, plan, retried", [
     ("notice", (500, {}), True), ("order", "drop", True), ("once", (503, {}), True),
     ("once", (429, {}), True), ("once", (500, {}), False), ("once", "drop", False),
     ("once", (503, {"Slots-Taken": "1"}), True),
 ])
-def test_what_comes_back_decides_on_a_further_leg(town, lane, plan, again):
+def test_the_outcome_of_an_attempt_decides_whether_it_is_retried(town, lane, plan, retried):
     town.plan = lambda call: plan if call["n"] == 0 else (200, {})
     town.start()
     assert town.hand_in("a", lane) == 202
-    if again:
+    if retried:
         assert until(lambda: len(town.calls) == 2)
     else:
         assert until(lambda: town.notices == [{"id": "a", "state": "failed"}])
         assert len(town.calls) == 1
 
 
-def test_the_log_says_why_a_message_was_tried_again_and_why_it_was_closed(town):
+def test_the_log_gives_the_cause_of_a_retry_and_of_a_closed_message(town):
     town.plan = lambda call: "drop" if call["n"] in (0, 2) else (200, {})
     town.start()
     assert town.hand_in("a", "order") == 202
@@ -69,7 +69,7 @@
     assert figures["messages.taken on"] == 2 and figures["closed.may have run"] == 1
 
 
-def test_a_told_wait_is_heeded_by_all_messages(town):
+def test_a_requested_wait_applies_to_all_messages_of_the_destination(town):
     town.plan = lambda call: (429, {"Wait-Ms": "900"}) if call["n"] == 0 else (200, {})
     town.start()
     for name in "abc":
@@ -79,12 +79,12 @@
     assert all(call["at"] - town.calls[0]["at"] >= 0.9 for call in town.calls[1:])
 
 
-@pytest.mark.parametrize("lane, out, ends", [
+@pytest.mark.parametrize("lane, unanswered, result", [
     ("notice", False, "sent"), ("notice", True, "sent"), ("order", True, "sent"), ("once", False, "sent"),
-    ("once", True, "failed"),       # its call was out: it may have run
+    ("once", True, "failed"),       # its call was in flight and may have run
 ])
-def test_a_killed_relay_still_owes_each_message_its_end(town, lane, out, ends):
-    town.plan = lambda call: "hang" if out else (429, {"Wait-Ms": "5000"})
+def test_messages_of_a_killed_relay_get_their_final_answer_after_the_restart(town, lane, unanswered, result):
+    town.plan = lambda call: "hang" if unanswered else (429, {"Wait-Ms": "5000"})
     town.start()
     assert town.hand_in("a", lane, b"body") == 202
     assert until(lambda: town.calls)
@@ -92,29 +92,29 @@
     town.end()
     before, town.plan = len(town.calls), lambda call: (200, {})
     town.start()
-    if ends == "sent":
+    if result == "sent":
         assert until(lambda: len(town.calls) > before)
         assert town.calls[-1]["id"] == "a" and town.calls[-1]["body"] == b"body"
     else:
         assert until(lambda: town.notices == [{"id": "a", "state": "failed"}])
         assert len(town.calls) == before
-    time.sleep(0.3)     # what was delivered is known as such by now
+    time.sleep(0.3)     # time to record the delivery
     town.end()
     count = len(town.calls) + len(town.notices)
     town.start()
     time.sleep(0.3)
-    assert len(town.calls) + len(town.notices) == count       # over is over, after a further restart too
+    assert len(town.calls) + len(town.notices) == count       # a further restart reopens nothing
 
 
 @pytest.mark.parametrize("tail", [b"\x99", b"\x40\0\0\0\1\2\3\4T[\"z\"", b"\0" * 4096])
-def test_a_torn_last_record_is_survived(town, tail):
+def test_a_relay_recovers_from_a_torn_last_record(town, tail):
     town.plan = lambda call: (429, {"Wait-Ms": "500"})
     town.start()
     town.hand_in("a")
     town.hand_in("b")
     town.end()
-    with open(max((town.folder / "state").glob("seg-*")), "ab") as log:
-        log.write(tail)
+    with open(max((town.folder / "state").glob("seg-*")), "ab") as segment:
+        segment.write(tail)
     town.start()
     assert until(lambda: {"a", "b"} <= {call["id"] for call in town.calls[1:]})
     assert town.hand_in("c") == 202
@@ -124,7 +124,7 @@
     assert until(lambda: {"a", "b", "c"} <= {call["id"] for call in town.calls[calls:]})
 
 
-def test_a_notice_is_told_until_the_platform_takes_it_across_a_restart(town):
+def test_a_notice_is_repeated_until_the_platform_accepts_it_even_across_a_restart(town):
     town.start()
     town.platform_status, town.plan = 503, lambda call: "drop"
     assert town.hand_in("a", "once") == 202
@@ -141,27 +141,27 @@
     town.hand_in("a", "notice", left="20000m")
     town.hand_in("b", "once", left="20000m")
     assert until(lambda: len(town.calls) == 2)
-    kept = socket.create_connection(town.relay_place)
-    kept.sendall(b"GET /ready HTTP/1.1\r\nHost: r\r\n\r\n")
-    assert b"200" in kept.recv(1000)
+    client = socket.create_connection(town.relay_place)
+    client.sendall(b"GET /ready HTTP/1.1\r\nHost: r\r\n\r\n")
+    assert b"200" in client.recv(1000)
     begun = time.time()
     town.relay.send_signal(signal.SIGTERM)
     answers = []
     while time.time() - begun < 2.0:
         answers.append(town.hand_in(f"n{len(answers)}"))
         time.sleep(0.1)
-    kept.sendall(b"GET /ready HTTP/1.1\r\nHost: r\r\n\r\n")
-    assert b"200" in kept.recv(1000)    # served as long as calls leave: its part of the limits is its own
-    kept.settimeout(0.9)
-    assert kept.recv(1000) == b""       # then its client goes to another relay
+    client.sendall(b"GET /ready HTTP/1.1\r\nHost: r\r\n\r\n")
+    assert b"200" in client.recv(1000)    # clients are served while calls are sent
+    client.settimeout(0.9)
+    assert client.recv(1000) == b""       # then closed, so that the client uses another relay
     while time.time() - begun < 3.0:
         answers.append(town.hand_in(f"n{len(answers)}"))
         time.sleep(0.1)
     assert set(answers) <= {202, 503} and answers[0] == 202
     assert town.relay.wait(3.7 - (time.time() - begun)) == 0
-    taken = [f"n{i}" for i, answer in enumerate(answers) if answer == 202]
+    accepted = [f"n{i}" for i, answer in enumerate(answers) if answer == 202]
     returned = {notice["id"] for notice in town.notices if notice["state"] == "returned"}
-    assert all(town.sent(name) or name in returned for name in taken)
+    assert all(town.sent(name) or name in returned for name in accepted)
     assert [event.get("phase") for event in town.events() if event["event"] == "phase"] == [
         "recovering", "serving", "leaving", "closing", "ended"]
     town.relay, calls = None, len(town.sent("b"))
@@ -171,8 +171,8 @@
     assert len(town.sent("b")) == calls
 
 
-# Guards against a signal that ends the relay out of order because it comes while the relay starts.
-def test_a_signal_while_the_relay_starts_ends_it_in_order_or_rereads_its_configuration(town):
+# Guards against a signal during startup that kills the relay instead of being handled in order.
+def test_a_signal_during_startup_shuts_the_relay_down_or_reloads_its_configuration(town):
     town.start(wait=False, signal_at_import=f"{signal.SIGTERM.value} h11")
     assert town.relay.wait(10) == 0
     town.start(signal_at_import=f"{signal.SIGHUP.value} h11")
@@ -204,13 +204,13 @@
        + b"Content-Length: 0\r\n\r\n", b" 400 ")
       for lengths in itertools.permutations([b"Content-Length: 3\r\n", b"Transfer-Encoding: chunked\r\n"])),
 ], ids=range(20))
-def test_bad_input_gets_a_plain_answer_and_the_relay_serves_on(town, data, answer):
+def test_bad_input_gets_an_error_status_and_the_relay_keeps_serving(town, data, answer):
     town.start()
     assert answer in town.raw(data, within=8).split(b"\r\n")[0] + b" "
     assert town.hand_in("after") == 202 and until(lambda: town.sent("after")) and not town.sent("hidden")
 
 
-def test_a_client_that_is_gone_before_its_answer_keeps_its_message(town):
+def test_a_message_is_not_accepted_if_its_client_is_gone_before_the_answer(town):
     town.start()
     with socket.create_connection(town.relay_place) as sock:
         sock.sendall(HEAD + b"Content-Length: 2\r\n\r\nok")
@@ -220,8 +220,8 @@
     assert not town.calls
 
 
-def test_what_clients_gave_up_while_the_relay_stood_still_stays_theirs(town):
-    """Their requests wait in the sockets; taken on late, they would be sent beside those handed in anew."""
+def test_requests_that_clients_abandoned_while_the_relay_was_stopped_are_not_accepted(town):
+    """Such requests wait in the socket buffers. Accepted late, they would duplicate the clients' retries."""
     town.start()
     town.relay.send_signal(signal.SIGSTOP)
     for _ in range(5):
@@ -233,36 +233,36 @@
     assert [call["id"] for call in town.calls] == ["after"]
 
 
-@pytest.mark.parametrize("limits, size, cap", [
+@pytest.mark.parametrize("limits, size, max_accepted", [
     ({}, 10, 100), ({"disk_mb": 1}, 60000, 6), ({"memory_mb": 2}, 60000, 8),
 ])
-def test_full_means_503_and_the_disk_limit_is_kept(tmp_path, limits, size, cap):
+def test_a_full_relay_answers_503_and_stays_within_its_disk_limit(tmp_path, limits, size, max_accepted):
     town = Town(tmp_path, limits)
     try:
         town.plan = lambda call: (429, {"Wait-Ms": "5000"})
         town.start()
-        answers = [town.hand_in(f"m{i}", body=b"x" * size, left="30000m") for i in range(cap + 30)]
-        assert set(answers) == {202, 503} and answers.count(202) <= cap
+        answers = [town.hand_in(f"m{i}", body=b"x" * size, left="30000m") for i in range(max_accepted + 30)]
+        assert set(answers) == {202, 503} and answers.count(202) <= max_accepted
         used = bytes_in(tmp_path / "state")
         assert used <= town.limits["disk_mb"] * 1_000_000
     finally:
         town.close()
 
 
-def test_the_log_is_compacted_within_its_limit(tmp_path):
+def test_the_journal_is_compacted_within_its_limit(tmp_path):
     town = Town(tmp_path, {"disk_mb": 1})
     try:
         town.start()
-        most = 0
+        max_size = 0
         for i in range(60):
             assert town.hand_in(f"m{i}", body=b"x" * 30000) == 202
-            most = max(most, bytes_in(tmp_path / "state"))
-        assert 200_000 < most <= 1_000_000 and until(lambda: len(town.calls) == 60)
+            max_size = max(max_size, bytes_in(tmp_path / "state"))
+        assert 200_000 < max_size <= 1_000_000 and until(lambda: len(town.calls) == 60)
     finally:
         town.close()
 
 
-def test_more_connections_than_fit_are_answered_or_closed_and_none_crash_the_relay(tmp_path):
+def test_connections_over_the_limit_are_answered_or_closed_without_a_crash(tmp_path):
     town = Town(tmp_path, {"sockets": 60})
     socks = []
     try:
@@ -280,7 +280,7 @@
         town.close()
 
 
-def test_half_read_requests_are_bounded(tmp_path):
+def test_memory_for_partial_requests_is_bounded(tmp_path):
     town = Town(tmp_path, {"memory_mb": 4})
     socks = []
     try:
@@ -297,7 +297,7 @@
         town.close()
 
 
-def test_a_call_that_follows_at_once_uses_the_connection_again(tmp_path):
+def test_successive_calls_reuse_the_connection(tmp_path):
     town = Town(tmp_path, slots=1)
     try:
         town.plan = lambda call: time.sleep(0.1) or (200, {})
@@ -309,7 +309,7 @@
         town.close()
 
 
-def test_a_host_that_leaves_gets_nothing_more_though_it_was_told_while_calls_waited(town):
+def test_a_leaving_host_gets_no_further_calls(town):
     town.start()
     town.change("h1", "leaving")
     assert until(lambda: len(town.watches) >= 2)
@@ -319,7 +319,7 @@
     assert until(lambda: len(town.calls) == 10) and {call["host"] for call in town.calls} == {"h2"}
 
 
-def test_failing_discovery_leaves_the_known_list_and_is_asked_with_pauses(town):
+def test_failing_discovery_keeps_the_known_list_and_is_retried_with_pauses(town):
     town.platform_status = 503
     town.start()
     assert town.hand_in("a") == 202 and until(lambda: town.sent("a"))
@@ -330,8 +330,8 @@
     assert until(lambda: len(town.watches) > count + 1, 12)
 
 
-def test_silent_peers_cost_their_own_connections_only(town):
-    """A host and a platform that accept and say nothing; calls end by time-out, others go on."""
+def test_a_host_that_never_answers_does_not_delay_calls_to_others(town):
+    """One host accepts calls and never answers: they time out and are retried at the other host."""
     town.plan = lambda call: "hang" if call["host"] == "h1" else (200, {})
     town.start()
     for i in range(6):
@@ -339,7 +339,7 @@
     assert until(lambda: all(any(call["host"] == "h2" for call in town.sent(f"m{i}")) for i in range(6)), 8)
 
 
-def test_events_are_json_lines_and_a_closed_reader_does_not_stop_the_relay(town):
+def test_events_are_json_lines_while_messages_are_submitted_concurrently(town):
     town.start()
     assert all("event" in event and "at" in event for event in town.events())
     threads = [threading.Thread(target=town.hand_in, args=(f"m{i}",)) for i in range(20)]
@@ -351,48 +351,48 @@
     assert json.dumps(town.events()[0])
 
 
-@pytest.mark.parametrize("how", [signal.SIGKILL, signal.SIGTERM])
-def test_nothing_is_lost_and_no_effect_comes_twice_while_hosts_fail_and_the_relay_restarts(town, how):
-    ran = []
+@pytest.mark.parametrize("signal_number", [signal.SIGKILL, signal.SIGTERM])
+def test_no_message_is_lost_and_no_effect_runs_twice_with_failing_hosts_and_restarts(town, signal_number):
+    executed = []
 
     def plan(call):
-        kind = call["n"] % 5
-        if kind in (1, 3):
-            return ["drop", (500, {})][kind // 3] if call["n"] % 2 else (503, {})
-        time.sleep(0.05 * kind)
-        ran.append(call["id"])
+        case = call["n"] % 5
+        if case in (1, 3):
+            return ["drop", (500, {})][case // 3] if call["n"] % 2 else (503, {})
+        time.sleep(0.05 * case)
+        executed.append(call["id"])
         return (200, {})
     town.plan = plan
     town.start()
-    taken = {}
+    accepted = {}
     for life in range(3):
         for i in range(12):
             name, lane = f"{life}-{i}", ("notice", "order", "once")[i % 3]
             if town.hand_in(name, lane, left="5000m") == 202:
-                taken[name] = lane
-        town.end(how)
+                accepted[name] = lane
+        town.end(signal_number)
         town.start()
-    assert len(taken) > 10
-    assert until(lambda: set(taken) <= set(ran) | {notice["id"] for notice in town.notices}, 7)
-    assert all(ran.count(name) <= 1 for name, lane in taken.items() if lane == "once")
+    assert len(accepted) > 10
+    assert until(lambda: set(accepted) <= set(executed) | {notice["id"] for notice in town.notices}, 7)
+    assert all(executed.count(name) <= 1 for name, lane in accepted.items() if lane == "once")
 
 
-@pytest.mark.parametrize("old", ["serves", "fails", "gone"])
-def test_a_new_configuration_moves_list_watch_and_notices_and_keeps_all_held(town, old):
+@pytest.mark.parametrize("old_platform", ["serves", "fails", "gone"])
+def test_a_reload_moves_discovery_and_notices_to_the_new_platform_and_keeps_held_messages(town, old_platform):
     town.plan = lambda call: (429, {"Wait-Ms": "3000"}) if call["n"] == 0 else (200, {})
-    town.platform_status = 503 if old == "fails" else None
+    town.platform_status = 503 if old_platform == "fails" else None
     town.start()
     assert town.hand_in("a") == 202 and until(lambda: town.calls)
-    town.move_platform(old)
+    town.move_platform(old_platform)
     town.platform_status, count = None, len(town.watches)
     (town.folder / "config.json").write_text("{")
-    town.relay.send_signal(signal.SIGHUP)       # what can't be read changes nothing
+    town.relay.send_signal(signal.SIGHUP)       # an invalid file changes nothing
     assert until(lambda: any("not read" in event["event"] for event in town.events()))
     town.configure()
     town.relay.send_signal(signal.SIGHUP)
-    here = [f"/v1/endpoints{ask}" for ask in ("", "?index=1&wait=1000")]
+    paths = [f"/v1/endpoints{query}" for query in ("", "?index=1&wait=1000")]
     assert until(lambda: [path for _, path, port in town.watches[count:]
-                          if port == town.moves][:2] == here, 1)
+                          if port == town.moves][:2] == paths, 1)
     town.posts.clear()
     town.plan = lambda call: "drop" if call["id"] == "b" else (200, {})
     assert until(lambda: len(town.sent("a")) == 2, 5) and town.hand_in("b", "once") == 202
@@ -400,38 +400,38 @@
     assert set(town.posts) == {town.moves} and town.relay.poll() is None
 
 
-@pytest.mark.parametrize("said", [b"", b"POST /not", HEAD + b"Content-Length: 9\r\n\r\nab"])
-def test_a_crowd_that_never_asks_is_closed_and_costs_no_client_its_connection(tmp_path, said):
+@pytest.mark.parametrize("sent_bytes", [b"", b"POST /not", HEAD + b"Content-Length: 9\r\n\r\nab"])
+def test_connections_without_a_request_are_closed_and_an_active_client_keeps_its_own(tmp_path, sent_bytes):
     town = Town(tmp_path, {"sockets": 60})
-    kept = http.client.HTTPConnection(*town.relay_place, timeout=2)
+    client = http.client.HTTPConnection(*town.relay_place, timeout=2)
     try:
         town.start()
         for _ in range(2):
-            kept.request("GET", "/ready")
-            assert kept.getresponse().read() == b""
-            sock, crowd = kept.sock, []
-            with socket.create_connection(town.relay_place) as reset:      # it must leave no trace
+            client.request("GET", "/ready")
+            assert client.getresponse().read() == b""
+            sock, idle_sockets = client.sock, []
+            with socket.create_connection(town.relay_place) as reset:      # must free its slot
                 reset.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
                 time.sleep(0.1)
             for _ in range(60):
-                crowd.append(socket.create_connection(town.relay_place, timeout=3))
-                crowd[-1].sendall(said)
-        assert kept.sock is sock and town.hand_in("a") == 202
+                idle_sockets.append(socket.create_connection(town.relay_place, timeout=3))
+                idle_sockets[-1].sendall(sent_bytes)
+        assert client.sock is sock and town.hand_in("a") == 202
         begun = time.time()
-        while crowd:
-            with crowd.pop() as sock, contextlib.suppress(ConnectionResetError):
-                assert sock.recv(100) == b"" or said
+        while idle_sockets:
+            with idle_sockets.pop() as sock, contextlib.suppress(ConnectionResetError):
+                assert sock.recv(100) == b"" or sent_bytes
         assert time.time() - begun < 2.8
     finally:
         town.close()
 
 
-def test_a_message_to_nowhere_is_pushed_back_unless_no_list_is_known(tmp_path):
+def test_a_message_to_an_unlisted_destination_is_rejected_unless_no_list_is_known(tmp_path):
     town = Town(tmp_path, known=False)
     try:
         town.platform_status = 503
         town.start()
-        assert town.hand_in("a") == 202 and not town.calls      # held until the list says where it goes
+        assert town.hand_in("a") == 202 and not town.calls      # held until there is a list
         town.platform_status = None
         assert until(lambda: town.sent("a"))
         assert town.ask("POST", "/notice", {"X-Request-Id": "b", "X-Deadline": "8000m",
@@ -441,7 +441,7 @@
         town.close()
 
 
-@pytest.mark.parametrize("answer, ends", [
+@pytest.mark.parametrize("answer, state", [
     (b"\0noise", "failed"), (b"HTTP/1.1 503 Full\r\nContent-Length: 9\r\n\r\nx", "failed"),
     (b"HTTP/1.1 503 Full\r\nContent-Length: 3000000000\r\n\r\n" + b"x" * 99999, "failed"),
     (b"HTTP/1.1 503 Full\r\nno colon\r\n\r\n", "failed"),
@@ -450,25 +450,25 @@
     (b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" + b"x" * 99999, None),
     (b"HTTP/1.1 103 Hints\r\n\r\nHTTP/1.1 200 OK\r\nX-Load: x1=x\r\nContent-Length: 0\r\n\r\nnoise", None),
 ], ids=range(9))
-def test_a_spoilt_answer_ends_its_leg_soon_and_its_connection(town, answer, ends):
-    """It may have run, whatever it says but a delivery; the time-out is far away."""
+def test_a_malformed_answer_ends_its_attempt_and_its_connection_before_the_timeout(town, answer, state):
+    """Unless the answer is a whole delivery, the call may have run, so that the message is not sent again."""
     town.plan = lambda call: answer if call["id"] == "a" else (200, {})
     town.start()
     assert town.hand_in("a", "once") == 202
     assert until_in_running_time(lambda: town.calls and town.calls[0].get("closed"), 1.2)
     assert town.hand_in("b", "once") == 202 and until(lambda: town.sent("b"))
-    assert until(lambda: town.notices or not ends) and len(town.sent("a")) == 1
-    assert town.notices == ([{"id": "a", "state": ends}] if ends else [])
-    assert town.hand_in("a", "once") == (500 if ends else 200)
+    assert until(lambda: town.notices or not state) and len(town.sent("a")) == 1
+    assert town.notices == ([{"id": "a", "state": state}] if state else [])
+    assert town.hand_in("a", "once") == (500 if state else 200)
 
 
-@pytest.mark.parametrize("how", [signal.SIGKILL, signal.SIGTERM])
-def test_a_restarted_relay_keeps_to_the_budget_it_had(town, how):
+@pytest.mark.parametrize("signal_number", [signal.SIGKILL, signal.SIGTERM])
+def test_a_restarted_relay_keeps_the_send_budget_of_the_previous_life(town, signal_number):
     town.plan = lambda call: (429 if call["n"] == 0 else 200, {"X-Load": "x0=0.5, x1=4"})
     town.start()
     assert [town.hand_in(f"m{i}", left="20000m") for i in range(12)] == [202] * 12
     time.sleep(0.8)
-    town.end(how)
+    town.end(signal_number)
     town.start()
     assert [town.hand_in(f"n{i}", left="20000m") for i in range(12)] == [202] * 12
     begun, count = time.time(), len(town.calls)
@@ -476,14 +476,14 @@
     assert 2 <= len([call for call in town.calls if call["at"] > begun]) <= 6 and count < 20
 
 
-def test_a_kept_connection_that_breaks_at_the_next_call_is_told_as_stale(town):
-    """As where a machine between drops idle connections unseen: only the call written to it is reset."""
+def test_a_reused_connection_that_breaks_at_the_next_call_is_recorded_as_stale(town):
+    """As with a middlebox that drops idle connections silently: only the next call on it is reset."""
     town.plan = lambda call: "drop" if call["id"][0] == "b" and len(town.sent(call["id"])) == 1 else (200, {})
     town.start()
     for i in range(8):
         for name in (f"a{i}", f"b{i}"):
             assert town.hand_in(name) == 202 and until(lambda name=name: town.sent(name))
-            time.sleep(0.15)        # its connection has rested and is used again
+            time.sleep(0.15)        # the connection is idle, then used again
     assert until(lambda: all(len(town.sent(f"b{i}")) == 2 for i in range(8)), 2)
-    found = b"".join(file.read_bytes() for file in (town.folder / "state").glob("seg-*"))
-    assert found.count(b'"stale"') >= 2
+    journal = b"".join(file.read_bytes() for file in (town.folder / "state").glob("seg-*"))
+    assert journal.count(b'"stale"') >= 2
--- a/tests/test_town.py
+++ b/tests/test_town.py
@@ -62,7 +62,7 @@
 
 
 def run_and_report(tmp_path, changes, command=None, **parts):
-    """(report, DayResult) of BASE_DAY with `changes`; with `command`, on tests/wrong_relay.py in that mode."""
+    """(report, DayResult) of BASE_DAY with `changes`; with `command`, on wrong_relay.py in that mode."""
     day = made(BASE_DAY | changes, Day)
     command = command and [sys.executable, str(ROOT / "tests/wrong_relay.py"), command]
     os.environ["PYTHONPATH"] = str(ROOT)
--- a/tests/test_windows.py
+++ b/tests/test_windows.py
@@ -1,4 +1,4 @@
-"""Repeats of keyed messages on real processes: none may arrive behind the idempotency window."""
+"""Retries of keyed messages by a relay process: none may arrive after the idempotency window."""
 
 import time
 
@@ -8,7 +8,7 @@
 from courseroute.town.proxy import Proxy
 
 WINDOW_S = 0.8
-LARGE_BODY = b"x" * 9_000  # more than a proxy takes in unread, less than the sender's system does
+LARGE_BODY = b"x" * 9_000  # more than a proxy's receive buffer holds, less than the sender's send buffer
 
 
 @pytest.fixture
@@ -22,18 +22,18 @@
 
 @pytest.fixture
 def proxies(town):
-    """One before each host, with little room for unread bytes; the list of endpoints names the proxies."""
-    made = []
-    for places in town.where.values():
-        made.append(Proxy(places[0], receive_buffer=4096))
-        places[:] = [made[-1].address]
-    yield made
-    for proxy in made:
+    """One proxy in front of each host, with a small receive buffer; the endpoint list names the proxies."""
+    created = []
+    for addresses in town.where.values():
+        created.append(Proxy(addresses[0], receive_buffer=4096))
+        addresses[:] = [created[-1].address]
+    yield created
+    for proxy in created:
         proxy.close()
 
 
 def lose_first_answer(proxies, switch):
-    """A plan for the hosts: the first answer is lost, once `switch` was thrown at each proxy."""
+    """A plan for the hosts: at the first call, calls `switch` on each proxy and drops the answer."""
 
     def plan(call):
         if call["n"]:
@@ -50,13 +50,13 @@
 
 
 def assert_not_repeated(town):
-    times = [call["at"] - town.calls[0]["at"] for call in town.calls]
-    assert len(times) == 1, f"sent again {times[1]:.3f} s after the first"
+    delays = [call["at"] - town.calls[0]["at"] for call in town.calls]
+    assert len(delays) == 1, f"sent again {delays[1]:.3f} s after the first"
     assert town.notices == [{"id": "a", "state": "failed"}]
 
 
-# Guards against a keyed request being sent again outside its window because its connection came up late.
-def test_a_repeat_does_not_leave_when_its_connection_comes_up_behind_the_idempotency_window(town, proxies):
+# Guards against a keyed request being sent again after its window because its connection came up late.
+def test_a_retry_is_not_sent_when_its_connection_is_established_after_its_window(town, proxies):
     town.plan = lose_first_answer(proxies, Proxy.drop_new_connections)
     town.start()
     assert town.hand_in("a", "order") == 202
@@ -67,23 +67,23 @@
     assert_not_repeated(town)
 
 
-# Guards against a keyed request reaching its server outside its window as its last bytes were on the way.
-def test_a_repeat_whose_last_bytes_have_not_arrived_when_its_window_is_over_never_arrives(town, proxies):
+# Guards against a keyed request reaching its server after its window because its last bytes were in transit.
+def test_a_retry_whose_last_bytes_are_in_transit_when_its_window_closes_never_arrives(town, proxies):
     town.plan = lose_first_answer(proxies, Proxy.hold_bytes)
     town.start()
     assert town.hand_in("a", "order", LARGE_BODY) == 202
     assert until(lambda: town.notices)
     wait_until_window_is_over(town)
     endings = [event["ending"] for event in town.events() if event["event"] == "attempt ended"]
-    assert "timeout" not in endings  # it was given up for its window, before its time-out
+    assert "timeout" not in endings  # abandoned for its window, before its timeout
     for proxy in proxies:
         proxy.pass_bytes()
     assert not until(lambda: len(town.calls) > 1, 0.5)
     assert_not_repeated(town)
 
 
-# Guards against a request reaching its server after the relay gave it up and told its client so.
-def test_an_attempt_given_up_before_its_bytes_arrived_never_arrives(town, proxies):
+# Guards against a request reaching its server after the relay abandoned it and reported the failure.
+def test_an_attempt_abandoned_before_its_bytes_arrived_never_arrives(town, proxies):
     for proxy in proxies:
         proxy.hold_bytes()
     town.start()
@@ -96,7 +96,7 @@
 
 # Guards against a keyed request being sent again outside its window after the wall clock was set back.
 @pytest.mark.parametrize("step_s", [-3600, -2])
-def test_a_window_is_over_for_the_next_life_when_the_wall_clock_was_set_back(town, step_s):
+def test_a_closed_window_stays_closed_after_a_restart_with_the_wall_clock_set_back(town, step_s):
     town.plan = lambda call: "hang" if call["n"] == 0 else (200, {})
     town.start()
     assert town.hand_in("a", "order") == 202
@@ -109,7 +109,7 @@
 
 
 @pytest.mark.parametrize("step_s", [3600, -3600])
-def test_a_message_is_sent_by_the_next_life_when_the_wall_clock_was_stepped(town, step_s):
+def test_a_message_is_sent_after_a_restart_with_the_wall_clock_stepped(town, step_s):
     town.plan = lambda call: (429, {"Wait-Ms": "300"}) if call["n"] == 0 else (200, {})
     town.start()
     assert town.hand_in("a", "notice") == 202
