--- a/courseroute/journal/store.py
+++ b/courseroute/journal/store.py
@@ -1,10 +1,11 @@
-"""The journal: numbered segments that are appended to, compacted in slices, and read back whole.
-
-The order of what is done, so that a crash between any two system calls loses no record and brings no ended
-message back: a record is written whole before what it tells of happens; a segment's live records are copied
-to the newest one (and synced, where that is asked for) before the segment is removed; the record of an end
-names the segments that still hold the message, and is copied on while one of them stands. Called by the desk,
-which says what is live (`refresh`), and by `run.relay` (`step`).
+"""The journal: an append-only log in numbered segment files, compacted in slices and replayed at startup.
+
+The order of operations ensures that a crash between any two system calls loses no record and never revives a
+closed message: a record is written completely before the event it describes takes effect; the live records
+of a segment are copied to the newest segment (and synced, if syncing is enabled) before the segment is
+removed; a closing record lists the segments that still hold records of the message, and compaction keeps
+copying it while one of those segments exists. Called by `state.desk`, which supplies the live records of a
+message (`refresh`), and by `run.relay`, which runs compaction (`step`).
 """
 import random
 import time
@@ -14,117 +15,140 @@
 from courseroute.journal.frames import BACK, CALL, MEMORY, OVER, OWED, TAKEN, record
 
 PREFIX = "seg-"
-AT_ONCE = 16            # slices of compaction at once, where a record would not fit without them
-LOOKED_AT = 256         # messages looked at between two looks at the clock
-LEGS = (CALL, BACK)
-DAMAGE = b"?"           # a stretch that could not be read, as a record of its own kind
+MAX_URGENT_SLICES = 16      # compaction slices run in a row before a record is refused for lack of space
+ENTRIES_PER_YIELD = 256     # messages examined between two checks of the clock
+ATTEMPT_KINDS = (CALL, BACK)
+DAMAGE = b"?"               # the kind that `read` yields for a range that could not be read
 
 
 class Full(Exception):
-    """The record does not fit, or could not be written."""
+    """The record does not fit into the journal, or could not be written."""
 
 
-class Loss(NamedTuple):
-    """Bytes that could not be read: they may have told of calls and ends of messages taken on before them."""
+class DamagedRange(NamedTuple):
+    """A byte range that could not be read. It may have held attempts and closing records of messages that
+    were accepted earlier."""
     segment: int
     at: int
     size: int
 
 
-class Entry:
-    """A live message: its bytes in the segment it began in, and in others; the segments that hold its
-    taking-on or its end, copies that count no more among them; whether its end is owed."""
-    __slots__ = ("number", "size", "others", "holds", "owed")
+class LiveMessage:
+    """Space accounting of a live message.
+
+    `first_segment` and `first_bytes`: the segment with its first record, and its live bytes there;
+    `other_bytes`: its live bytes in other segments, by segment number, or None; `holding_segments`: numbers
+    of the segments that contain its accepting or closing record, including superseded copies;
+    `notice_pending`: its final notice is not yet acknowledged.
+    """
+    __slots__ = ("first_segment", "first_bytes", "other_bytes", "holding_segments", "notice_pending")
 
-    def __init__(self, number, holds=(), owed=False):
-        self.number, self.size, self.others, self.owed = number, 0, None, owed
-        self.holds = (*holds, number) if number not in holds else holds
+    def __init__(self, number, holding_segments=(), notice_pending=False):
+        self.first_segment, self.first_bytes, self.other_bytes, self.notice_pending = (
+            number, 0, None, notice_pending)
+        self.holding_segments = (
+            (*holding_segments, number) if number not in holding_segments else holding_segments)
 
     def add(self, number, size):
-        if number == self.number:
-            self.size += size
-        elif self.others is None:
-            self.others = {number: size}
+        """Adds `size` live bytes in segment `number`."""
+        if number == self.first_segment:
+            self.first_bytes += size
+        elif self.other_bytes is None:
+            self.other_bytes = {number: size}
         else:
-            self.others[number] = self.others.get(number, 0) + size
+            self.other_bytes[number] = self.other_bytes.get(number, 0) + size
 
-    def inside(self, number):
-        """Its bytes in that segment."""
-        return self.size if number == self.number else (self.others or {}).get(number, 0)
+    def bytes_in(self, number):
+        """Live bytes of this message in segment `number`."""
+        return self.first_bytes if number == self.first_segment else (self.other_bytes or {}).get(number, 0)
 
 
-def draw_salt():
+def random_salt():
     return random.SystemRandom().getrandbits(32)
 
 
 class Journal:
-    def __init__(self, disk, most, relay="", syncs=False, clock=time.monotonic_ns, draw=draw_salt):
+    """The journal of one folder.
+
+    `disk` is the file system interface, `most` the maximum size on disk in bytes, `relay` the relay's name,
+    `syncs` whether records are synced to disk, `clock` a monotonic clock in nanoseconds and `make_salt` the
+    source of segment salts. `refresh(name)` returns the live records of a message, or an empty list if it has
+    none; `remembered(name)` tells whether the closing record of a message must be kept. Both are set by the
+    owner before compaction runs.
+    """
+
+    def __init__(self, disk, most, relay="", syncs=False, clock=time.monotonic_ns, make_salt=random_salt):
         self.disk, self.most, self.relay, self.syncs, self.clock = disk, most, relay, syncs, clock
-        self.draw, self.salt = draw, 0
-        self.size_of_segment = plan.segment_size(most)
-        self.roomy = most - plan.reserve(most) - plan.SECTORS   # below that everything fits
+        self.make_salt, self.salt = make_salt, 0
+        self.max_segment_bytes = plan.segment_size(most)
+        self.always_fits_below = most - plan.reserve(most) - plan.SECTORS   # total size in bytes
         self.segments = {}              # number -> [size, live bytes]
-        self.entries, self.ended_in = {}, {}    # ended_in: segment -> [(segment of the end's record, bytes)]
+        # closing_by_segment: segment -> [(segment of a closing record that lists it, bytes of that record)]
+        self.entries, self.closing_by_segment = {}, {}
         self.handle, self.newest, self.live = None, 0, 0
-        self.refresh = None             # a method: the records of a message that is held or owed, else []
-        self.remembered = None          # a method: whether a message's end is still to be known
-        self.work = None                # the compaction under way
-        self.total, self.dead_seen = 0, 0       # bytes on the disk; the dead ones when none paid to compact
-        self.left = []                  # handles of closed segments that are not synced yet
-        self.unsynced, self.losses, self.compacted, self.copied, self.written = False, [], 0, 0, 0
+        self.refresh = None
+        self.remembered = None
+        self.compaction = None          # the generator of the compaction in progress
+        self.total_bytes, self.dead_bytes_checked = 0, 0    # the second: at the last search without a victim
+        self.unsynced_handles = []      # handles of closed segments that are not synced yet
+        self.has_unsynced, self.losses, self.compacted, self.copied, self.written = False, [], 0, 0, 0
 
     # Reading.
 
     def read(self):
-        """Yields all records of earlier lives in order, as (kind, fields, body); DAMAGE with a Loss where
-        bytes are bad. Ends that a crash tore are cut off. Newer where a file is of a later version."""
+        """Yields the records of earlier processes in order, as (kind, fields, body), and (DAMAGE,
+        DamagedRange, b"") for each unreadable range. Truncates segments whose last write was interrupted by a
+        crash. Raises Newer if a file has an unsupported version."""
         names = self.disk.names()
         if old.NAME in names:
-            self.convert(names)
-        for name in self.names():
+            self.convert_legacy_log(names)
+        for name in self.segment_names():
             data = self.disk.read(name)
             number = frames.header_of(data, name)
-            if number is None or name != self.name(number):
-                if self.is_torn_start(data, name):
+            if number is None or name != self.segment_name(number):
+                if self.is_torn_header(data, name):
                     self.disk.remove(name)
                 else:
-                    self.losses.append(Loss(self.number(name), 0, len(data)))
+                    self.losses.append(DamagedRange(self.segment_number(name), 0, len(data)))
                     self.disk.rename(name, f"bad-{name}")
                     yield DAMAGE, self.losses[-1], b""
                 continue
-            self.sized(number, len(data))
-            last = name == self.names()[-1]
+            self.set_segment_size(number, len(data))
+            last = name == self.segment_names()[-1]
             for one in frames.scan(data):
                 if one.kind is not None:
-                    self.place(one.kind, one.told, number, one.end - one.at)
+                    self.account(one.kind, one.told, number, one.end - one.at)
                     yield one.kind, one.told, one.body
                 elif one.torn or last and one.end == len(data) and data[one.at:one.at + 2] != frames.RECORD:
                     self.disk.cut(name, one.at)
-                    self.sized(number, one.at)
+                    self.set_segment_size(number, one.at)
                 else:
-                    self.losses.append(Loss(number, one.at, one.end - one.at))
+                    self.losses.append(DamagedRange(number, one.at, one.end - one.at))
                     yield DAMAGE, self.losses[-1], b""
             self.newest = max(self.newest, number)
 
-    def names(self):
+    def segment_names(self):
         return [name for name in self.disk.names() if name.startswith(PREFIX)]
 
-    def name(self, number):
+    def segment_name(self, number):
         return f"{PREFIX}{number:010d}"
 
-    def number(self, name):
+    def segment_number(self, name):
+        """The number in a segment's file name, 0 if it has none."""
         digits = name.removeprefix(PREFIX)
         return int(digits) if digits.isdigit() else 0
 
-    def is_torn_start(self, data, name):
-        """A crash just as the segment began left a part of its header, all of it but for the salt known."""
-        begin = frames.header(self.number(name), self.relay, 0)[:len(data)]
+    def is_torn_header(self, data, name):
+        """Whether a crash during the creation of a segment left a partial header. All of the header is known
+        except the salt."""
+        begin = frames.header(self.segment_number(name), self.relay, 0)[:len(data)]
         return len(data) < frames.HEADER.size and data[:frames.SALT_AT] == begin[:frames.SALT_AT]
 
-    def convert(self, names):
-        """The log of an earlier version, turned over: while it stands, segments are a torn try to do so."""
-        for name in self.names():
-            frames.header_of(self.disk.read(name, 0, 64), name)     # a newer one is not touched
+    def convert_legacy_log(self, names):
+        """Converts the single-file log of an earlier version. Segments found beside that log come from an
+        interrupted conversion and are discarded."""
+        for name in self.segment_names():
+            frames.header_of(self.disk.read(name, 0, 64), name)     # raises Newer before anything is removed
             self.disk.remove(name)
         for kind, told, body in old.records(self.disk.read(old.NAME)):
             self.write(record(kind, told, body))
@@ -135,276 +159,291 @@
         for name in (old.SPARE, old.NAME):
             if name in names:
                 self.disk.remove(name)
-        self.segments, self.entries, self.ended_in, self.newest, self.total = {}, {}, {}, 0, 0
+        self.segments, self.entries, self.closing_by_segment, self.newest, self.total_bytes = {}, {}, {}, 0, 0
 
-    # Room.
+    # Space.
 
-    def table(self):
+    def segment_table(self):
         return [plan.Segment(number, *self.segments[number]) for number in sorted(self.segments)]
 
     def room(self, size):
-        """Whether a message with so many bytes may still be taken on."""
+        """Whether a new message of `size` bytes can be accepted."""
         if not plan.may_take(self.live, size, self.most):
             return False
-        if not plan.fits(self.total, size, self.most, True):
-            self.make_room(size)
-        return plan.fits(self.total, size, self.most, True)
-
-    def make_room(self, size, reserved=True):
-        """Compacts at once, for some slices: better than to turn away what would fit."""
-        for _ in range(AT_ONCE):
-            if plan.fits(self.total, size, self.most, reserved) or not self.step(hurry=True):
+        if not plan.fits(self.total_bytes, size, self.most, True):
+            self.free_space(size)
+        return plan.fits(self.total_bytes, size, self.most, True)
+
+    def free_space(self, size, reserved=True):
+        """Runs up to MAX_URGENT_SLICES compaction slices until `size` bytes fit, so that a record which could
+        fit is not refused."""
+        for _ in range(MAX_URGENT_SLICES):
+            if plan.fits(self.total_bytes, size, self.most, reserved) or not self.step(hurry=True):
                 return
 
     @property
     def size(self):
-        return self.total
+        """Bytes on disk, including the allowance for partially filled sectors."""
+        return self.total_bytes
 
-    def sized(self, number, size):
-        """A segment has so many bytes now; None: it is gone."""
+    def set_segment_size(self, number, size):
+        """Records the size of a segment in bytes; None if it was removed."""
         if number in self.segments:
-            self.total -= self.segments[number][0] + plan.SECTORS
+            self.total_bytes -= self.segments[number][0] + plan.SECTORS
         if size is not None:
             self.segments.setdefault(number, [0, 0])[0] = size
-            self.total += size + plan.SECTORS
+            self.total_bytes += size + plan.SECTORS
 
     # Writing.
 
     def write(self, *parts):
-        """Writes whole records, or raises Full with nothing of them left behind."""
+        """Appends all given records, or raises Full and leaves none of their bytes in the journal."""
         if not parts:
             return
         size, reserved = sum([part.size for part in parts]), parts[0].kind == TAKEN
-        if self.total + size > self.roomy and not plan.fits(self.total, size, self.most, reserved):
-            self.make_room(size, reserved)
-            if not plan.fits(self.total, size, self.most, reserved):
+        if self.total_bytes + size > self.always_fits_below and not plan.fits(
+                self.total_bytes, size, self.most, reserved):
+            self.free_space(size, reserved)
+            if not plan.fits(self.total_bytes, size, self.most, reserved):
                 raise Full("the journal is full")
         self.append(parts)
         for part in parts:
-            self.place(part.kind, part.told, self.newest, part.size)
+            self.account(part.kind, part.told, self.newest, part.size)
 
     def append(self, parts):
-        if self.handle is None or self.segments[self.newest][0] >= self.size_of_segment:
+        """Writes records to the newest segment without accounting for them; starts a new segment if the
+        newest one has reached its maximum size."""
+        if self.handle is None or self.segments[self.newest][0] >= self.max_segment_bytes:
             self.begin()
         data = parts[0].sealed(self.salt) if len(parts) == 1 else b"".join(
             [part.sealed(self.salt) for part in parts])
         segment, size = self.segments[self.newest], len(data)
         start = segment[0]
         try:
-            self.put(data)
+            self.write_all(data)
         except OSError as cause:
-            self.take_back(start)
+            self.undo_write(start)
             raise Full(str(cause)) from None
         segment[0] = start + size
-        self.total += size
+        self.total_bytes += size
         self.written += size
-        self.unsynced = True
+        self.has_unsynced = True
 
-    def put(self, data):
+    def write_all(self, data):
+        """Writes all of `data` to the newest segment, repeating short writes."""
         count = self.disk.write(self.handle, data)
         while count < len(data):
             count += self.disk.write(self.handle, memoryview(data)[count:])
 
-    def take_back(self, size):
-        """Nothing of a failed write may stay; where even that fails the segment is closed: what is torn at
-        its end is seen when it is read."""
+    def undo_write(self, size):
+        """Truncates the newest segment to `size` bytes after a failed write. If that fails as well, closes
+        the segment; the incomplete record at its end is then detected when it is read."""
         try:
             self.disk.truncate(self.handle, size)
         except OSError:
-            self.leave()
+            self.close_segment()
 
-    def leave(self):
-        """Closes the newest segment; where syncs are asked for its handle stays until that was done."""
+    def close_segment(self):
+        """Closes the newest segment. With syncing enabled, its handle stays open until it has been synced."""
         if self.handle is not None:
-            if self.syncs and self.unsynced:
-                self.left.append(self.handle)
+            if self.syncs and self.has_unsynced:
+                self.unsynced_handles.append(self.handle)
             else:
                 self.disk.close(self.handle)
             self.handle = None
 
     def begin(self):
-        """A new segment; its number is one that no file has or had."""
-        self.leave()
-        number, salt = self.newest + 1, self.draw()
+        """Starts a new segment, under a number that no existing or earlier file of this journal has."""
+        self.close_segment()
+        number, salt = self.newest + 1, self.make_salt()
         head = frames.header(number, self.relay, salt)
         try:
-            self.handle = self.disk.create(self.name(number))
-            self.put(head)
+            self.handle = self.disk.create(self.segment_name(number))
+            self.write_all(head)
         except OSError as cause:
             if self.handle is not None:
                 self.disk.close(self.handle)
                 self.handle = None
                 try:
-                    self.disk.remove(self.name(number))
+                    self.disk.remove(self.segment_name(number))
                 except OSError:
                     pass
             raise Full(str(cause)) from None
         self.newest, self.salt = number, salt
-        self.sized(number, len(head))
-        self.unsynced = True
+        self.set_segment_size(number, len(head))
+        self.has_unsynced = True
 
-    # What is live: bytes by segment.
+    # Accounting of live bytes by segment.
 
-    def place(self, kind, told, number, size):
-        """A record stands in that segment; what it makes of its message's other records."""
+    def account(self, kind, told, number, size):
+        """Accounts for a record in segment `number`, and for the earlier records of its message that it
+        supersedes."""
         if kind == MEMORY:
             return
         name = told[0]
         entry = self.entries.get(name)
         if kind == OVER:
             if entry is not None:
-                self.forget(entry)
+                self.subtract_live(entry)
                 del self.entries[name]
-            standing = [seg for seg in told[2:] if seg != number and seg in self.segments]
-            if standing:
+            existing = [seg for seg in told[2:] if seg != number and seg in self.segments]
+            if existing:
                 self.segments[number][1] += size
-                self.ended_in.setdefault(max(standing), []).append((number, size))
+                self.closing_by_segment.setdefault(max(existing), []).append((number, size))
             return
-        if kind == OWED and (entry is None or not entry.owed):
-            self.begin_anew(name, entry, number, True)
+        if kind == OWED and (entry is None or not entry.notice_pending):
+            self.replace_entry(name, entry, number, True)
             entry = self.entries[name]
         elif entry is None:
             if kind != TAKEN:
                 return
-            entry = self.entries[name] = Entry(number)
-        elif kind not in LEGS and number not in entry.holds:
-            entry.holds = (*entry.holds, number)
+            entry = self.entries[name] = LiveMessage(number)
+        elif kind not in ATTEMPT_KINDS and number not in entry.holding_segments:
+            entry.holding_segments = (*entry.holding_segments, number)
         entry.add(number, size)
         self.segments[number][1] += size
 
-    def begin_anew(self, name, entry, number, owed):
-        """What a message had before counts no more, but the segments still hold it."""
+    def replace_entry(self, name, entry, number, notice_pending):
+        """Restarts the accounting of a message. Its earlier records are no longer live, but their segments
+        remain listed as holding the message."""
         if entry is not None:
-            self.forget(entry)
-        self.entries[name] = Entry(number, entry.holds if entry else (), owed)
-
-    def forget(self, entry):
-        if entry.number in self.segments:
-            self.segments[entry.number][1] -= entry.size
-        for number, size in (entry.others or {}).items():
+            self.subtract_live(entry)
+        self.entries[name] = LiveMessage(number, entry.holding_segments if entry else (), notice_pending)
+
+    def subtract_live(self, entry):
+        """Subtracts the bytes of a message from the live bytes of its segments."""
+        if entry.first_segment in self.segments:
+            self.segments[entry.first_segment][1] -= entry.first_bytes
+        for number, size in (entry.other_bytes or {}).items():
             if number in self.segments:
                 self.segments[number][1] -= size
 
     def over(self, name, state):
-        """The record of an end: it names the segments that still hold the message."""
+        """Makes the closing record of a message, which lists the segments that still hold the message."""
         entry = self.entries.get(name)
-        return record(OVER, [name, state, *self.standing(entry)])
+        return record(OVER, [name, state, *self.existing_segments(entry)])
 
-    def standing(self, entry):
-        return [seg for seg in entry.holds if seg in self.segments] if entry else []
+    def existing_segments(self, entry):
+        return [seg for seg in entry.holding_segments if seg in self.segments] if entry else []
 
     # Compaction.
 
     def wants(self):
-        """Whether a slice of compaction would pay; looked at closely only where enough has died since."""
-        if self.work is not None:
+        """Whether a compaction slice is worthwhile. The segments are examined only if the amount of dead
+        bytes has changed enough since the last search that found no victim."""
+        if self.compaction is not None:
             return True
-        if not plan.pays(self.total, self.most):
+        if not plan.pays(self.total_bytes, self.most):
             return False
-        dead = self.total - sum([live for _, live in self.segments.values()])
-        if abs(dead - self.dead_seen) < self.size_of_segment // 8:
+        dead = self.total_bytes - sum([live for _, live in self.segments.values()])
+        if abs(dead - self.dead_bytes_checked) < self.max_segment_bytes // 8:
             return False
-        if plan.victim(self.table(), self.most) is not None:
+        if plan.victim(self.segment_table(), self.most) is not None:
             return True
-        self.dead_seen = dead
+        self.dead_bytes_checked = dead
         return False
 
     def step(self, hurry=False):
-        """One slice of compaction; False where there is nothing to do, or no way to do it."""
-        if self.work is None:
-            number = plan.victim(self.table(), self.most, hurry)
+        """Runs one slice of compaction; False if no segment is eligible or the slice failed."""
+        if self.compaction is None:
+            number = plan.victim(self.segment_table(), self.most, hurry)
             if number is None:
                 return False
-            self.work = self.compact(number)
+            self.compaction = self.compact(number)
         end = self.clock() + plan.SLICE
         try:
-            for _ in self.work:
+            for _ in self.compaction:
                 if self.clock() >= end:
                     return True
         except (Full, OSError):
-            self.work = None
+            self.compaction = None
             return False
-        self.work = None
+        self.compaction = None
         return True
 
     def compact(self, number):
-        """Writes what is live of one segment to the newest, from memory, then the ends that still matter, and
-        removes it; a stop now and then. No record of a message is read for it: most are dead."""
+        """Copies the live records of a segment to the newest one, then the closing records that are still
+        needed, and removes the segment. A generator that yields regularly so that the caller can check the
+        clock. Live records are generated from memory rather than read back, as most records in the file are
+        dead."""
         for i, name in enumerate(list(self.entries)):
             entry = self.entries.get(name)
-            if entry is not None and entry.inside(number):
+            if entry is not None and entry.bytes_in(number):
                 if parts := self.refresh(name):
-                    self.copy(parts)
+                    self.copy_records(parts)
                 yield
-            elif i % LOOKED_AT == 0:
+            elif i % ENTRIES_PER_YIELD == 0:
                 yield
-        for one in self.ends(self.disk.read(self.name(number))):
+        for one in self.closing_records(self.disk.read(self.segment_name(number))):
             if one is not None and one.told[0] not in self.entries:
-                standing = [seg for seg in one.told[2:] if seg in self.segments and seg != number]
-                if standing or self.remembered(one.told[0]):
-                    self.copy([record(OVER, [*one.told[:2], *standing])])
+                existing = [seg for seg in one.told[2:] if seg in self.segments and seg != number]
+                if existing or self.remembered(one.told[0]):
+                    self.copy_records([record(OVER, [*one.told[:2], *existing])])
             yield
-        if self.syncs:      # before what was copied goes, whatever a sync beside the loop has done so far
+        if self.syncs:      # the copies must be on disk first, whatever a concurrent sync has covered so far
             self.sync()
-        self.disk.remove(self.name(number))
-        self.removed(number)
+        self.disk.remove(self.segment_name(number))
+        self.segment_removed(number)
         self.compacted += 1
 
-    def ends(self, data):
-        """The records of ends in a segment, None now and then; of a damaged one those that can be read."""
+    def closing_records(self, data):
+        """Yields the closing records of a segment, and None at intervals. If the segment is damaged, yields
+        those that can be read."""
         try:
             yield from frames.skim(data, OVER)
         except ValueError:
             yield from (one for one in frames.scan(data) if one.kind == OVER)
 
-    def copy(self, parts):
-        """A message's live records at their new place, all or none; its older ones count no more."""
+    def copy_records(self, parts):
+        """Appends all live records of a message, or none of them; its older copies are no longer live."""
         size = sum([part.size for part in parts])
-        if not plan.fits(self.total, size, self.most, False):
+        if not plan.fits(self.total_bytes, size, self.most, False):
             raise Full("no room to compact")
         self.append(parts)
         self.copied += size
         name = parts[0].told[0]
         if parts[0].kind != OVER:
             before = self.entries.get(name)
-            self.begin_anew(name, before, self.newest, before is not None and before.owed)
+            self.replace_entry(name, before, self.newest, before is not None and before.notice_pending)
         for part in parts:
-            self.place(part.kind, part.told, self.newest, part.size)
+            self.account(part.kind, part.told, self.newest, part.size)
 
-    def removed(self, number):
-        self.sized(number, None)
+    def segment_removed(self, number):
+        """Drops a removed segment from the accounting. Closing records that were kept only because of this
+        segment are no longer live."""
+        self.set_segment_size(number, None)
         del self.segments[number]
-        for seg, size in self.ended_in.pop(number, ()):
+        for seg, size in self.closing_by_segment.pop(number, ()):
             if seg in self.segments:
                 self.segments[seg][1] -= size
 
-    # Syncs: what was left unsynced stays open, and in `left`, until a sync of it came back.
+    # Syncs. The handle of a closed, unsynced segment stays in `unsynced_handles` until a sync of it succeeds.
 
     def sync(self):
-        """All that is written is safe; OSError where it is not."""
-        handles = [*self.left, self.handle] if self.handle is not None else self.left[:]
+        """Syncs everything written so far to disk; raises OSError if that fails."""
+        handles = ([*self.unsynced_handles, self.handle] if self.handle is not None
+                   else self.unsynced_handles[:])
         for handle in handles:
             self.disk.sync(handle)
         self.disk.sync_folder()
-        self.unsynced = False
-        self.release(self.left[:])
+        self.has_unsynced = False
+        self.release(self.unsynced_handles[:])
 
     def release(self, handles):
+        """Closes handles of closed segments that have been synced."""
         for handle in handles:
-            if handle in self.left:
-                self.left.remove(handle)
+            if handle in self.unsynced_handles:
+                self.unsynced_handles.remove(handle)
                 self.disk.close(handle)
 
-    def to_sync(self):
-        """(handles to be synced beside the event loop and closed there, those of `left` among what they stand
-        for)."""
-        left = self.left[:]
-        now = left if self.handle is None or not self.unsynced else [*left, self.handle]
-        self.unsynced = False
-        return [self.disk.duplicate(handle) for handle in now], left
+    def handles_to_sync(self):
+        """(duplicated handles, closed handles): the first are for the caller to sync outside the event loop
+        and to close; the second are those of `unsynced_handles` that this covers, for `release`."""
+        closed = self.unsynced_handles[:]
+        pending = closed if self.handle is None or not self.has_unsynced else [*closed, self.handle]
+        self.has_unsynced = False
+        return [self.disk.duplicate(handle) for handle in pending], closed
 
     def close(self):
-        self.leave()
-        self.release(self.left[:])
-
-
+        self.close_segment()
+        self.release(self.unsynced_handles[:])
--- a/courseroute/journal/syncer.py
+++ b/courseroute/journal/syncer.py
@@ -1,50 +1,52 @@
-"""Syncs what is written, beside the event loop: now and then, or before it is answered for, many at once."""
+"""Syncs the journal to disk in a worker thread: periodically, or before each response, for many at once."""
 
 import trio
 
 
 class Syncer:
-    """`mode` interval: every `every` nanoseconds; each: `settled` waits until all written so far is safe."""
+    """`mode`: "off"; "interval": a sync every `every` nanoseconds; "each": `settled` waits until everything
+    written so far is synced."""
 
     def __init__(self, journal, mode, every, say):
-        self.journal, self.mode, self.every, self.say = journal, mode, every / 1e9, say
-        self.safe, self.news, self.asked, self.failing = 0, trio.Event(), trio.Event(), False
+        self.journal, self.mode, self.interval_s, self.say = journal, mode, every / 1e9, say
+        self.synced_bytes, self.progress, self.requested, self.failing = 0, trio.Event(), trio.Event(), False
 
     async def settled(self):
+        """Returns when all bytes written before the call are synced; in other modes than "each", at once."""
         if self.mode != "each":
             return
         target = self.journal.written
-        while self.safe < target:
-            self.asked.set()
-            await self.news.wait()
+        while self.synced_bytes < target:
+            self.requested.set()
+            await self.progress.wait()
 
     async def serve(self):
         while self.mode != "off":
             if self.mode == "each":
-                await self.asked.wait()
-                self.asked = trio.Event()
+                await self.requested.wait()
+                self.requested = trio.Event()
             else:
-                await trio.sleep(self.every)
+                await trio.sleep(self.interval_s)
             await self.sync()
 
     async def sync(self):
-        """One sync for all that is written by now; one that fails is told and tried again."""
+        """Runs one sync for everything written so far. A failure is logged once in a row and retried."""
         journal, target = self.journal, self.journal.written
-        handles, left = journal.to_sync()
+        handles, closed = journal.handles_to_sync()
         try:
             if handles:
                 await trio.to_thread.run_sync(self.sync_all, handles)
-            journal.release(left)
-            self.safe, self.failing = max(self.safe, target), False
-            news, self.news = self.news, trio.Event()
-            news.set()
+            journal.release(closed)
+            self.synced_bytes, self.failing = max(self.synced_bytes, target), False
+            progress, self.progress = self.progress, trio.Event()
+            progress.set()
         except OSError as cause:
             if not self.failing:
                 self.failing = True
                 self.say("journal cannot be synced", error=str(cause)[:200])
-            journal.unsynced = True
-            self.asked.set()
-            await trio.sleep(self.every)
+            journal.has_unsynced = True
+            self.requested.set()
+            await trio.sleep(self.interval_s)
         finally:
             for handle in handles:
                 journal.disk.close(handle)
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -123,9 +123,10 @@
 
 
 @pytest.mark.parametrize("name, wrong", [
-    ("standing", lambda self, entry: []),               # ends don't outlast the message's older segments
-    ("copy", lambda self, parts: None),                 # live records are not copied on
-    ("take_back", lambda self, size: None),             # torn writes stay
+    # closing records do not outlast the message's older segments
+    ("existing_segments", lambda self, entry: []),
+    ("copy_records", lambda self, parts: None),     # compaction does not copy live records
+    ("undo_write", lambda self, size: None),        # incomplete writes stay in the file
 ])
 def test_the_torture_sees_a_journal_that_is_wrong(monkeypatch, name, wrong):
     monkeypatch.setattr(Journal, name, wrong)
@@ -273,14 +274,15 @@
     journal.begin()
     journal.write(TEN[1])
     journal.begin()             # with nothing in it
-    handles, left = journal.to_sync()
-    assert len(handles) == 3 and len(left) == 2 and not disk.synced
+    handles, closed = journal.handles_to_sync()
+    assert len(handles) == 3 and len(closed) == 2 and not disk.synced
     disk.fails = {disk.calls + 1: errno.EIO}
     with pytest.raises(OSError):
         journal.sync()
-    assert journal.left == left         # kept, to be tried again
+    assert journal.unsynced_handles == closed     # kept for the next attempt
     journal.sync()
-    assert not journal.left and {name: bytes(data) for name, data in disk.files.items()} == disk.synced
+    assert not journal.unsynced_handles and {
+        name: bytes(data) for name, data in disk.files.items()} == disk.synced
 
 
 def test_a_newer_version_is_refused_and_left_as_it_is(tmp_path):
