--- a/courseroute/__main__.py
+++ b/courseroute/__main__.py
@@ -1,4 +1,4 @@
-"""Starts one relay as the platform does: python -m courseroute. The command line is `courseroute.command`."""
+"""Starts one relay for the platform: python -m courseroute. The command line is in `courseroute.command`."""
 
 import sys
 
@@ -6,7 +6,7 @@
 
 
 def start():
-    startup_signals.install()  # before the imports, which take a while
+    startup_signals.install()  # before the imports, which are slow
     from courseroute.checked import Bad
     from courseroute.run import config
     from courseroute.run.relay import main
@@ -20,7 +20,7 @@
 
 
 if __name__ == "__main__":
-    if len(sys.argv) > 1:  # a command: its libraries are no part of the relay's path
+    if len(sys.argv) > 1:  # a command; its libraries are not loaded for the relay
         from courseroute.command.main import cli
 
         cli(prog_name="courseroute")
--- a/courseroute/checked.py
+++ b/courseroute/checked.py
@@ -1,8 +1,8 @@
-"""Checked files: what was read, against a msgspec Struct, every mistake at once and each with its place.
+"""Validates files against msgspec Structs and reports all mistakes at once, each with its location.
 
-Called by `run.setup` (a relay's configuration) and `town.script` (a town's day). Times in files are text, a
-number and a unit; `span` gives their whole nanoseconds. A file's form is a Struct of Structs, lists, maps
-with text keys and plain values; a Struct may have a `faults` method that names what no type can say.
+Called by `run.setup` (a relay's configuration) and `town.script` (an emulator script). Durations in files are
+text, a number and a unit; `span` converts them to nanoseconds. A file's schema is a Struct of Structs, lists,
+maps with text keys and plain values; a Struct may have a `faults` method that yields mistakes no type can express.
 """
 
 import difflib
@@ -24,7 +24,7 @@
 
 
 class Form(msgspec.Struct, forbid_unknown_fields=True, kw_only=True, omit_defaults=True):
-    """The base of all that stands in a checked file."""
+    """Base class of the schemas of validated files."""
 
 
 class Mistake(NamedTuple):
@@ -37,7 +37,7 @@
 
 
 class Bad(Exception):
-    """`mistakes`: all that was found wrong in one file."""
+    """An invalid file; `mistakes` lists everything found wrong in it."""
 
     def __init__(self, name, mistakes):
         self.name, self.mistakes = name, mistakes
@@ -62,7 +62,7 @@
 
 
 def read(path):
-    """A TOML file's content; Bad where it can't be read or is no TOML."""
+    """A TOML file's content; raises Bad if it cannot be read or is not TOML."""
     try:
         with open(path, "rb") as file:
             return tomllib.load(file)
@@ -73,8 +73,8 @@
 
 
 def made(told, form, name="configuration", strict=True):
-    """The Struct that `told` describes; Bad with every mistake where it describes none. A machine's file that
-    is not strict may leave out what a person would be asked for: no `faults` method is heard."""
+    """Builds the Struct that `told` describes, or raises Bad with all mistakes. With `strict` False, for
+    generated files that may omit settings required of a person, no `faults` method is called."""
     mistakes = []
     thing = check(told, form, "", mistakes, strict)
     if mistakes:
@@ -83,7 +83,7 @@
 
 
 def check(told, kind, place, mistakes, strict=True):
-    """Makes a value of type `kind`, or adds to `mistakes` and returns None."""
+    """Converts `told` to type `kind`, or adds to `mistakes` and returns None."""
     kind, described = bare(kind)
     if isinstance(kind, type) and issubclass(kind, msgspec.Struct):
         return check_form(told, kind, place, mistakes, strict)
@@ -102,7 +102,7 @@
 
 
 def bare(kind):
-    """(the type alone, the type with all that is said of its values); `X | None` stands for X."""
+    """(the type, the type with its constraints); `X | None` is treated as X."""
     if get_origin(kind) is Union or type(kind).__name__ == "UnionType":
         kind = next(part for part in get_args(kind) if part is not type(None))
     return (get_args(kind)[0] if get_origin(kind) is Annotated else kind), kind
@@ -156,7 +156,7 @@
 
 
 def allowed_by(kind, said):
-    """What a type allows, in words: its own description, its choices, else what msgspec expected."""
+    """Describes the values a type allows: its description, its choices, or what msgspec expected."""
     for meta in getattr(kind, "__metadata__", ()):
         if meta.description:
             return meta.description
@@ -167,7 +167,7 @@
 
 
 def keys(form, place="", maps="NAME"):
-    """(place, type in words, default) of every key of a form, those of its parts behind it: for the pages."""
+    """(place, type in words, default) of every key of a schema, including nested ones, for documentation."""
     for field in msgspec.structs.fields(form):
         kind, described = bare(field.type)
         here = joined(place, field.encode_name)
--- a/courseroute/journal/__init__.py
+++ b/courseroute/journal/__init__.py
@@ -1,7 +1,7 @@
-"""What outlasts the process: the journal of messages in segments, and what was learned of the partners.
+"""Persistent state: the segmented journal of messages, and the state learned about partners.
 
-Called by the desk (`state.desk`), which alone knows what a message is; by `run.relay`, which gives it time to
-compact and to sync; by the command line's `journal` tools. `frames` is the format, `plan` decides what is
-compacted and when (no I/O, no clock), `store` is the journal itself, `disk` the file system's seam, `learned`
-the file of what was learned, `old` reads the single-file log of earlier versions.
+Called by the desk (`state.desk`), which interprets the messages; by `run.relay`, which schedules compaction
+and syncs; by the command line's `journal` tools. `frames` is the format, `plan` decides what to
+compact and when (no I/O, no clock), `store` is the journal itself, `disk` the file system interface,
+`learned` the file of learned state, `old` reads the single-file log of earlier versions.
 """
--- a/courseroute/journal/disk.py
+++ b/courseroute/journal/disk.py
@@ -1,10 +1,10 @@
-"""The file system as the journal uses it: few calls, one place where they can fail."""
+"""The file system interface of the journal, so that tests can replace it with `faulty.FaultyDisk`."""
 
 import os
 
 
 class Disk:
-    """Paths are names inside one folder. Every call may raise OSError."""
+    """Files of one folder, by name. Every method may raise OSError."""
 
     def __init__(self, folder):
         self.folder = str(folder)
@@ -19,11 +19,11 @@
         return os.stat(self.path(name)).st_size
 
     def create(self, name):
-        """A new, empty file to append to; its handle."""
+        """Creates an empty file for appending and returns its handle."""
         return os.open(self.path(name), os.O_RDWR | os.O_CREAT | os.O_TRUNC | os.O_APPEND, 0o600)
 
     def write(self, handle, data):
-        """How many bytes were written; maybe fewer than all."""
+        """Writes and returns the number of bytes written, possibly fewer than given."""
         return os.write(handle, data)
 
     def truncate(self, handle, size):
@@ -43,7 +43,7 @@
             os.close(handle)
 
     def duplicate(self, handle):
-        """Another handle of the same file, to be synced and closed beside it."""
+        """Duplicates a handle, so that the copy can be synced and closed independently."""
         return os.dup(handle)
 
     def close(self, handle):
--- a/courseroute/journal/faulty.py
+++ b/courseroute/journal/faulty.py
@@ -1,27 +1,27 @@
-"""A disk in memory that fails as it is told: for tests and the torture of the journal.
+"""An in-memory disk with fault injection, for tests and crash tests of the journal.
 
-Counts its calls; at a given one it ends the process (`Crash`, before, after, or half-way through a write) or
-answers with an errno, writes short, or is full. What outlasts a crash of the process is all that was written;
-what outlasts a power cut is what was synced.
+It counts calls that change it. At a given call it simulates a crash of the process (`Crash`, before, after or
+part-way through a write), raises an error, writes short, or is full. All written data survives a crash of the
+process; only synced data survives a power failure.
 """
 
 import errno
 
 
 class Crash(Exception):
-    """The process is no more; nothing after this call happened."""
+    """Simulates the end of the process at this call."""
 
 
 class FaultyDisk:
     def __init__(self, room=None):
         self.files, self.synced, self.handles, self.next = {}, {}, {}, 3
         self.calls, self.room = 0, room
-        self.crash_at, self.part = None, 1.0  # the call, and how much of it still happens
+        self.crash_at, self.part = None, 1.0  # call number, and the fraction of it that still happens
         self.fails = {}  # call -> errno
         self.short = set()  # calls that write half
 
     def step(self, act):
-        """One call that changes the disk: `act` is told how much of it happens."""
+        """Runs one call that changes the disk; `act` gets the fraction that happens."""
         self.calls += 1
         if self.calls == self.crash_at:
             if self.part:
@@ -121,7 +121,7 @@
         self.step(act)
 
     def after(self, power_cut=False):
-        """The disk as the next life finds it."""
+        """The disk as the next process finds it."""
         other = FaultyDisk(self.room)
         kept = self.synced if power_cut else self.files
         other.files = {name: bytearray(data) for name, data in kept.items()}
--- a/courseroute/journal/frames.py
+++ b/courseroute/journal/frames.py
@@ -1,11 +1,11 @@
-"""The journal's format, down to the byte. No I/O.
+"""The binary format of the journal. No I/O.
 
-A segment begins with a header of 32 bytes: the mark `courjrnl`, format version and 0 (two bytes each), the
-segment's number (eight), xxh32 of the relay's name (four), a random salt (four), xxh32 of the 28 bytes before
-it. Records follow: the mark C0 DE, the kind (one byte), 0, the size of what follows (four), its xxh32 seeded
+A segment begins with a header of 32 bytes: the magic `courjrnl`, the format version and 0 (two bytes each),
+the segment's number (eight), xxh32 of the relay's name (four), a random salt (four), xxh32 of the 28 bytes
+before it. Records follow: the magic C0 DE, the kind (one byte), 0, the size of what follows (four), its xxh32 seeded
 with the salt and the kind (four); then the fields as a line of JSON, and a body where there is one. Numbers
-are little-endian. The salt is known to nobody outside: no client's body can hold what a reader that looks for
-the next good record behind a damaged one would take for one.
+are little-endian. The salt never leaves the relay, so no client can send a body that would pass for a valid
+record when a reader searches for the next one behind damaged bytes.
 """
 
 import struct
@@ -18,19 +18,19 @@
 HEADER = struct.Struct("<8sHHQIII")
 HEAD = struct.Struct("<2scBII")
 MARK, RECORD = b"courjrnl", b"\xc0\xde"
-SALT_AT = 24  # where the salt stands in the header
-MOST = 1 << 24  # no record is larger
+SALT_AT = 24  # offset of the salt in the header
+MAX_RECORD_BYTES = 1 << 24  # largest size of a record without its head, in bytes
 TAKEN, CALL, BACK, OWED, OVER, MEMORY = b"T", b"C", b"B", b"N", b"O", b"M"
-PASSED = 64  # records passed over between two looks at the clock
+RECORDS_PER_YIELD = 64  # records skipped between two checks of the clock
 KINDS = (TAKEN, CALL, BACK, OWED, OVER, MEMORY)
 
 
 class Newer(Exception):
-    """A file of a version that this program does not know: it is left as it is."""
+    """The file has a newer format version than this program supports; it is left unchanged."""
 
 
 class Found(NamedTuple):
-    """One stretch of a segment: a record, or (kind None) bytes that are none; `torn`: its end is missing."""
+    """A byte range of a segment: a record, or unreadable bytes (kind None); `torn`: cut off at the end."""
 
     at: int
     end: int
@@ -46,7 +46,7 @@
 
 
 def header_of(data, name=""):
-    """The segment's number, None where the header is none; Newer where its version is unknown."""
+    """The segment's number, or None if the header is invalid. Raises Newer if its version is unsupported."""
     if len(data) < HEADER.size or data[:8] != MARK:
         return None
     _, version, _, number, _, _, check = HEADER.unpack_from(data)
@@ -58,7 +58,7 @@
 
 
 class Record:
-    """A record that is to be written; its bytes depend on the segment it comes to stand in."""
+    """A record to be written. Its checksum depends on the salt of the segment it is written to."""
 
     __slots__ = ("kind", "told", "text", "size")
 
@@ -74,7 +74,7 @@
         return HEAD.pack(RECORD, kind, 0, len(text), xxh32_intdigest(text, salt ^ kind[0])) + text
 
 
-def check_of(text, kind, salt):
+def checksum(text, kind, salt):
     return xxh32_intdigest(text, salt ^ kind[0])
 
 
@@ -85,20 +85,20 @@
     return HEADER.unpack_from(data)[5]
 
 
-def whole(data, at, salt):
-    """The record that begins there, None where none does; IndexError where its end is missing."""
+def parse_record(data, at, salt):
+    """The record at offset `at`, or None if there is none. Raises IndexError if the record is cut off."""
     if len(data) - at < HEAD.size:
         if data[at : at + 2] in (RECORD, RECORD[:1]) or at == len(data):
             raise IndexError
         return None
-    mark, kind, nought, size, check = HEAD.unpack_from(data, at)
-    if mark != RECORD or nought or size > MOST or kind not in KINDS:
+    mark, kind, zero, size, check = HEAD.unpack_from(data, at)
+    if mark != RECORD or zero or size > MAX_RECORD_BYTES or kind not in KINDS:
         return None
     end = at + HEAD.size + size
     if end > len(data):
         raise IndexError
     text = data[at + HEAD.size : end]
-    if check_of(text, kind, salt) != check:
+    if checksum(text, kind, salt) != check:
         return None
     line = text.find(b"\n")
     try:
@@ -108,14 +108,14 @@
 
 
 def scan(data, at=HEADER.size):
-    """Every stretch of a segment in order: good records, and what lies between them that is none."""
+    """Yields the byte ranges of a segment in order: valid records and unreadable bytes between them."""
     salt = salt_of(data)
     while at < len(data):
         try:
-            found = whole(data, at, salt)
+            found = parse_record(data, at, salt)
         except IndexError:
             found = None
-            if (then := resync(data, at + 1, salt)) is None:  # nothing behind it: a write that was cut off
+            if (then := resync(data, at + 1, salt)) is None:  # no record follows: an interrupted write
                 yield Found(at, len(data), None, torn=True)
                 return
         else:
@@ -130,31 +130,31 @@
 
 
 def skim(data, wanted, at=HEADER.size):
-    """Yields the records of one kind in a segment that should be whole; others are passed over unread, with
-    a None now and then to look at the clock. ValueError where the segment turns out not to be whole."""
-    passed, salt = 0, salt_of(data)
+    """Yields the records of one kind without decoding the others, and None at intervals so that the caller
+    can check the clock. Raises ValueError if the segment is damaged or cut off."""
+    skipped, salt = 0, salt_of(data)
     while at < len(data):
         if len(data) - at < HEAD.size:
             raise ValueError("a torn head")
-        mark, kind, nought, size, _ = HEAD.unpack_from(data, at)
-        if mark != RECORD or nought or kind not in KINDS or at + HEAD.size + size > len(data):
+        mark, kind, zero, size, _ = HEAD.unpack_from(data, at)
+        if mark != RECORD or zero or kind not in KINDS or at + HEAD.size + size > len(data):
             raise ValueError("no record's head")
         if kind == wanted:
-            one = whole(data, at, salt)
+            one = parse_record(data, at, salt)
             if one is None:
                 raise ValueError("a damaged record")
             yield one
-        passed += 1
-        if passed % PASSED == 0:
+        skipped += 1
+        if skipped % RECORDS_PER_YIELD == 0:
             yield None
         at += HEAD.size + size
 
 
 def resync(data, at, salt):
-    """Where the next good record begins, None where none does."""
+    """The offset of the next valid record, or None."""
     while (at := data.find(RECORD, at)) >= 0:
         try:
-            if whole(data, at, salt):
+            if parse_record(data, at, salt):
                 return at
         except IndexError:
             pass
--- a/courseroute/journal/learned.py
+++ b/courseroute/journal/learned.py
@@ -1,9 +1,9 @@
-"""What a relay learned of its partners, in a file of its own: versioned, checksummed, never half written.
+"""The file of learned partner state: versioned, checksummed and replaced atomically.
 
-One line of JSON with the version, the time it was learned and the checksum of what follows, then what the
-module told (`Dispatcher.memory`). It is written beside, synced and renamed. A file of an older version is
-read; one that is broken, or of a newer version, is set aside under another name and the relay starts without
-it. What age makes of it is the module's (`Dispatcher.recall`).
+One line of JSON with the version, the time it was learned and the checksum of what follows, then the
+state itself (`Dispatcher.memory`). It is written to a temporary file, synced and renamed. A file of an older
+version is read; a damaged file or one of a newer version is renamed and the relay starts without it. The
+dispatcher accounts for the age of the state (`Dispatcher.recall`).
 """
 
 import contextlib
@@ -20,12 +20,13 @@
 
 class Learned:
     def __init__(self, folder, say, most=MOST, syncs=True, disk=None):
-        """`most`: bytes the file may have; what is longer is not kept."""
+        """`most`: maximum size of the state in bytes; a larger state is not saved."""
         self.disk, self.say, self.most, self.syncs = disk or Disk(folder), say, most, syncs
         self.kept = b"[]"
 
     def keep(self, told, now):
-        """Writes it where it changed; OSError where the folder can't be written, the old file then stands."""
+        """Saves the state if it changed; returns whether it did. Raises OSError if the folder is not
+        writable; the old file then remains."""
         text = orjson.dumps(told)
         if text == self.kept or len(text) > self.most:
             return False
@@ -44,7 +45,7 @@
         return True
 
     def read(self):
-        """(what was learned, when); ([], 0) where there is nothing to go by."""
+        """(state, time it was learned in ns), or ([], 0) if there is no usable file."""
         with contextlib.suppress(OSError):
             self.disk.remove(SPARE)
         try:
--- a/courseroute/journal/lock.py
+++ b/courseroute/journal/lock.py
@@ -1,4 +1,4 @@
-"""One relay a folder: the lock that tells whether one runs. Called by `run.relay` and the tools."""
+"""The lock that ensures that only one relay uses a folder. Called by `run.relay` and the tools."""
 
 import fcntl
 import os
@@ -6,11 +6,12 @@
 
 
 class Held(Exception):
-    """A relay runs on that folder."""
+    """Another process has locked the folder."""
 
 
 def lock(folder, within=0.0):
-    """The folder's handle with the lock on it, to be kept open; Held where another keeps it that long."""
+    """Locks a folder and returns the handle, which must stay open. Waits up to `within` seconds, then raises
+    Held."""
     handle, end = os.open(folder, os.O_RDONLY), time.monotonic() + within
     while True:
         try:
--- a/courseroute/journal/old.py
+++ b/courseroute/journal/old.py
@@ -1,4 +1,4 @@
-"""Reads the single-file log of versions up to 0.2: records up to the first that is torn."""
+"""Reads the single-file log of versions up to 0.2: records up to the first incomplete one."""
 
 import struct
 import zlib
@@ -10,7 +10,7 @@
 
 
 def records(data):
-    """(kind, fields, body) of each whole record."""
+    """(kind, fields, body) of each complete record."""
     at = 0
     while at + HEAD.size <= len(data):
         size, check, kind = HEAD.unpack_from(data, at)
@@ -23,7 +23,7 @@
 
 
 def record(kind, told, body=b""):
-    """One record as those versions wrote it: for tests of the change."""
+    """One record in the format of those versions, for tests of the conversion."""
     text = orjson.dumps(told) + b"\n"
     check = zlib.crc32(body, zlib.crc32(text, zlib.crc32(kind)))
     return b"".join((HEAD.pack(len(text) + len(body), check, kind), text, body))
--- a/courseroute/journal/plan.py
+++ b/courseroute/journal/plan.py
@@ -1,16 +1,17 @@
-"""What is compacted, when, and what still fits: no I/O, no clock, no record.
+"""Compaction policy and space limits: which segment to compact, when, and what fits. No I/O, no clock.
 
-A journal is a list of segments, oldest first, the newest still written to. Called by `store`.
+A journal is a list of segments, oldest first; the last one is still being written. Called by `store`.
 """
 
 from typing import NamedTuple
 
-SECTORS = 512  # a file counts in whole ones
+SECTORS = 512  # bytes; file sizes are rounded up to whole sectors
 SEGMENTS, LEAST_SEGMENT, MOST_SEGMENT = 24, 16 << 10, 4 << 20
-LIVE_SHARE = 0.78  # of the disk that live messages may fill, with room for their legs and ends
-RESERVE, LEAST_RESERVE = 2, 160 << 10  # segments, bytes kept for ends, calls and copies: not for new
-START, WASTE = 4, 0.5  # compaction begins below so many free segments; above half where so much is dead
-SLICE = 2_000_000  # nanoseconds of work at a stretch
+LIVE_SHARE = 0.78  # of the disk for live messages; the rest is for their attempts and closing records
+RESERVE, LEAST_RESERVE = 2, 160 << 10  # in segments, in bytes: not for new messages
+# Compaction starts with fewer than START segments free; above half full, if a share WASTE is dead.
+START, WASTE = 4, 0.5
+SLICE = 2_000_000  # nanoseconds of one compaction slice
 
 
 class Segment(NamedTuple):
@@ -20,7 +21,7 @@
 
 
 def segment_size(most):
-    """Bytes after which a segment is closed, for a disk of so many."""
+    """Size in bytes at which a segment is closed, for a journal of at most `most` bytes."""
     return max(min(LEAST_SEGMENT, most // 8), min(MOST_SEGMENT, most // SEGMENTS))
 
 
@@ -29,29 +30,29 @@
 
 
 def used(segments):
-    """Bytes on the disk at the most: a file counts in whole sectors."""
+    """Upper bound of the bytes on disk, with files rounded up to whole sectors."""
     return sum(segment.size + SECTORS for segment in segments)
 
 
 def fits(total, size, most, reserved):
-    """Whether so many bytes more may be written beside the `total`; `reserved`: by one who may not use the
-    reserve."""
+    """Whether `size` more bytes fit beside `total`; `reserved`: without using the space reserved for closing
+    records, attempts and copies."""
     return total + size + SECTORS <= most - (reserve(most) if reserved else 0)
 
 
 def pays(total, most):
-    """Whether a look for a victim may find one: cheap, asked often."""
+    """Whether a search for a victim may succeed: a cheap check that runs often."""
     return total > most // 2 or most - total < START * segment_size(most)
 
 
 def may_take(live, size, most):
-    """Whether a message of that size may be taken on, with all that it may still write."""
+    """Whether a message of that size can be accepted, with the records it may add later."""
     return live + size <= int(most * LIVE_SHARE)
 
 
 def victim(segments, most, hurry=False):
-    """The number of the segment to compact next, None where that would not pay yet. The newest is never one;
-    of the others it is the one that costs least to copy for what it frees."""
+    """The number of the segment to compact next, or None if compaction is not worthwhile yet. Never the
+    newest; of the others, the one with the best ratio of freed to copied bytes."""
     closed = segments[:-1]
     free = most - used(segments)
     short = hurry or free < START * segment_size(most)
--- a/courseroute/journal/replay.py
+++ b/courseroute/journal/replay.py
@@ -1,6 +1,6 @@
-"""What a journal's records, read in order, leave standing: held messages, ends owed, recent ends. No I/O.
+"""Rebuilds state from journal records: open messages, pending notices and recently closed messages. No I/O.
 
-Used by the desk at its start and by the tools, so that both read a folder alike.
+Used by the desk at startup and by the tools, so that both interpret a folder the same way.
 """
 
 from collections import OrderedDict
@@ -11,18 +11,19 @@
 
 
 class Kept:
-    """A message that is held: the fields of its record, its body, its attempts by number."""
+    """An open message: the fields of its accepting record, its body, its recorded attempts by number."""
 
     __slots__ = ("told", "body", "attempts", "doubtful")
 
     def __init__(self, told, body):
         self.told, self.body, self.attempts = told, body, {}
-        self.doubtful = False  # records of its attempts may stand in bytes that can't be read
+        self.doubtful = False  # records of its attempts may be in unreadable bytes
 
     @property
     def legs(self):
-        """The attempts as [host, sent at, ending]. One with no record was not sent, as that is written first;
-        where records may be lost it may have run, nobody knows when, and so may one behind the last."""
+        """The attempts as [host, sent at, ending]. An attempt without a record was not sent, as the
+        record is written first. If records may be lost, such an attempt may have run at an unknown time, and
+        so may one after the last recorded attempt."""
         count = max(self.attempts, default=-1) + 1 + self.doubtful
         missing = None if self.doubtful else UNSENT
         return [self.attempts.get(n) or ["", 0, missing] for n in range(count)]
@@ -30,14 +31,16 @@
 
 class Replay:
     def __init__(self, most_ends=None):
-        """`most_ends`: how many ends are remembered, the newest ones; None for all."""
+        """`most_ends`: how many recently closed messages are remembered; None for all."""
         self.held, self.owed, self.ends, self.most_ends = {}, {}, OrderedDict(), most_ends
-        self.doubtful = set()  # held messages whose attempts, or end, may stand in bytes that can't be read
+        self.doubtful = set()  # open messages whose attempts or closing record may be unreadable
 
     def damage(self):
+        """Called for unreadable bytes: records of all messages that are open now may be lost."""
         self.doubtful.update(self.held)
 
     def feed(self, kind, told, body):
+        """Applies one record; kinds that do not concern messages are ignored."""
         if kind not in (TAKEN, CALL, BACK, OWED, OVER):
             return
         name = told[0]
@@ -58,7 +61,7 @@
                 self.ends.popitem(last=False)
 
     def finish(self):
-        """No more records come."""
+        """Called after the last record; returns self."""
         for name in self.doubtful & self.held.keys():
             self.held[name].doubtful = True
         return self
--- a/courseroute/run/clock.py
+++ b/courseroute/run/clock.py
@@ -1,10 +1,10 @@
-"""One clock for all spans of real time that outlasts the process: the wall clock may be stepped meanwhile.
+"""A clock that continues across restarts of the process and is unaffected by steps of the wall clock.
 
-What a journal keeps of time are readings of this clock: nanoseconds that look like Unix time. They come from
+Timestamps in the journal are readings of this clock, in nanoseconds close to Unix time. They come from
 the monotonic clock, which no step changes and which runs on from one process to the next while the machine
-stays up, plus an offset that the folder keeps together with the machine's boot. A new offset is taken from
-the wall clock where the folder has none, or the machine was started anew; then nothing tells how much time
-has passed since.
+stays up, plus an offset that the folder keeps together with the boot id. A new offset is taken from
+the wall clock where the folder has none, or the machine was rebooted; the time that has passed since is then
+unknown.
 """
 
 import contextlib
@@ -15,7 +15,7 @@
 import xxhash
 
 NAME, SPARE = "clock", "clock.new"
-BYTES = 512  # of a file on the disk, counted in whole sectors
+BYTES = 512  # size of the file on disk, in whole sectors
 BOOT_ID = Path("/proc/sys/kernel/random/boot_id")
 
 
@@ -28,7 +28,7 @@
 
 
 class Clock:
-    """`now()` in nanoseconds; `continues`: whether readings of earlier lives are of the same clock."""
+    """`now()` in nanoseconds; `continues`: whether readings of earlier processes are comparable."""
 
     def __init__(self, offset_ns, continues):
         self.offset_ns, self.continues = offset_ns, continues
@@ -38,8 +38,8 @@
 
 
 def open_clock(disk, boot=None, syncs=False):
-    """The clock that the folder keeps; a new one where it keeps none of this boot. A folder that can't be
-    written costs the next life the clock, nothing else."""
+    """The clock saved in the folder, or a new one if none was saved since this boot. If the folder is not
+    writable, the next process starts a new clock; nothing else is affected."""
     boot = boot_id() if boot is None else boot
     kept = read(disk)
     if kept and boot and kept.boot == boot and kept.monotonic_ns <= time.monotonic_ns():
@@ -51,7 +51,7 @@
 
 
 def boot_id():
-    """What tells this run of the machine from others, "" where nothing does."""
+    """The id of the current boot of the machine, or "" if unknown."""
     try:
         return BOOT_ID.read_text().strip()
     except OSError:
@@ -59,7 +59,7 @@
 
 
 def read(disk):
-    """The file's content, None where there is none, or no whole one."""
+    """The file's content, or None if it is missing or damaged."""
     try:
         check, _, data = disk.read(NAME).partition(b"\n")
         if check.decode("latin-1") != xxhash.xxh64_hexdigest(data):
@@ -70,7 +70,7 @@
 
 
 def write(disk, kept, syncs):
-    """Written beside and renamed, so that it is never half written."""
+    """Replaces the file atomically through a temporary file."""
     data = msgspec.json.encode(kept)
     left = memoryview(xxhash.xxh64_hexdigest(data).encode() + b"\n" + data)
     handle = disk.create(SPARE)
--- a/courseroute/run/config.py
+++ b/courseroute/run/config.py
@@ -1,6 +1,6 @@
-"""What a relay is told at its start: the platform's JSON, or a TOML file of an installation of one's own.
+"""Reads a relay's configuration: the platform's JSON, or the TOML file of a separate installation.
 
-Both end in the same checked `Setup`; what is wrong raises `Bad` with one line a mistake, never a trace.
+Both produce the same validated `Setup`. Invalid input raises `Bad` with one line per mistake.
 """
 
 import os
@@ -15,8 +15,8 @@
 from courseroute.run.setup import Setup, told_of
 from courseroute.wire.words import place_of
 
-TOLD_WITHIN = 6 * 10**9  # nanoseconds; what discovery has counts as told by then, whatever failed
-MOVED_TOLD_WITHIN = 4 * 10**9  # the same from a SIGHUP that moves it
+TOLD_WITHIN = 6 * 10**9  # ns until changes known to discovery count as received, despite failures
+MOVED_TOLD_WITHIN = 4 * 10**9  # the same, after a SIGHUP that changes the discovery address
 PLATFORM = {
     "listen": "ROUTER_LISTEN",
     "directory": "ROUTER_DISCOVERY",
@@ -26,7 +26,7 @@
 
 
 def read(environ=os.environ):
-    """The running relay's figures as a plain map, from the file that ROUTER_CONFIG names."""
+    """The relay's settings as a plain map (see `figures`), from the file that ROUTER_CONFIG names."""
     path = environ.get("ROUTER_CONFIG")
     if not path:
         raise Bad("ROUTER_CONFIG", [Mistake("", "no such variable", "the path of a configuration file")])
@@ -66,14 +66,14 @@
         raise Bad(path, [mistake]) from None
     told_figures = figures(made(shape, Setup, path, strict=False))
     for kind in told_figures["terms"]["kinds"].values():
-        kind["per_call"] = 1  # calls are single on the platform's sockets, whatever the settings say
+        kind["per_call"] = 1  # the socket protocol carries one message per call
     return told_figures | {"known": told.get("known"), "keeps_list": False}
 
 
 def figures(setup):
-    """A Setup as the relay uses it: addresses as pairs, sizes in bytes, the module's terms."""
+    """Converts a Setup for the relay: addresses as pairs, sizes in bytes, times in nanoseconds."""
     terms = setup.terms()
-    terms["ask"] = True  # on sockets the list answers only when asked
+    terms["ask"] = True  # over sockets, discovery sends the list only on request
     terms |= {"told_within": TOLD_WITHIN, "moved_told_within": MOVED_TOLD_WITHIN}
     return {
         "name": setup.name,
--- a/courseroute/run/logbook.py
+++ b/courseroute/run/logbook.py
@@ -1,9 +1,9 @@
-"""The relay's own log: one line an event on standard output, as JSON or, for people, in colours.
+"""The relay's event log: one line per event on standard output, as JSON or as coloured text.
 
-Bound context is the relay's name; a level a line, known by its event. A reader that stands still must not
-stop the relay: the line is dropped then, and the next one that fits says how many. structlog renders for
-installations of one's own (`courseroute serve`); on the platform's path it is not loaded, as it alone takes
-1.9 MB of the 32 MB there are (docs/town.md), and the same chain ends in orjson directly.
+Each line has the relay's name and a level, which follows from the event. A reader that stops reading must not
+block the relay: lines are then dropped, and the next line written reports how many. `courseroute serve`
+renders with structlog; under the platform it is not loaded, as it takes 1.9 MB of the available 32 MB
+(docs/town.md), and lines are rendered with orjson directly.
 """
 
 import os
@@ -37,7 +37,7 @@
 class Logbook:
     def __init__(self):
         self.least, self.context, self.dropped, self.render = LEVELS["info"], {}, 0, render_json
-        self.structured = False  # structlog renders, in either form
+        self.structured = False  # whether structlog renders both forms
 
     def set(self, level="info", form="json", **context):
         self.least = LEVELS[level]
--- a/courseroute/run/relay.py
+++ b/courseroute/run/relay.py
@@ -1,4 +1,4 @@
-"""One relay from start to exit."""
+"""Runs one relay: startup, recovery, serving, shutdown."""
 
 import enum
 import signal
@@ -29,16 +29,16 @@
 from courseroute.wire.notices import Notices
 from courseroute.wire.words import roster_of
 
-REPORT_EVERY_S = 10.0  # between two lines of figures in the log
-LAST_LIFE = 2.0  # seconds in which a process that was killed lets go of the folder
+REPORT_EVERY_S = 10.0  # between two reports of counters in the log
+LOCK_TIMEOUT_S = 2.0  # a killed predecessor releases its lock within this time
 
 
 class Phase(enum.Enum):
     STARTING = "starting"  # nothing is open yet
-    RECOVERING = "recovering"  # the log is read back, the module decides on what it holds
+    RECOVERING = "recovering"  # the journal is replayed and its messages are scheduled
     SERVING = "serving"
-    LEAVING = "leaving"  # told to stop: still serves, takes on what can still go out
-    CLOSING = "closing"  # no new calls; what is being answered is answered
+    LEAVING = "leaving"  # asked to stop: still serves, accepts what can be sent in time
+    CLOSING = "closing"  # no new calls; requests in progress are answered
     ENDED = "ended"
 
 
@@ -55,7 +55,7 @@
         told, house, terms = self.told, HOUSE, dict(self.told["terms"])
         kept_list = int(told["disk"] * house["kept_list"]) if told["keeps_list"] else 0
         syncs = told["sync"] != "off"
-        self.lock = lock(told["state"], LAST_LIFE)
+        self.lock = lock(told["state"], LOCK_TIMEOUT_S)
         clock = open_clock(Disk(told["state"]), syncs=syncs)
         self.clock = clock.now
         learned = int(told["disk"] * house["learned"])
@@ -86,7 +86,7 @@
             desk.alarm, desk.leave = self.set_alarm, self.left.set
             self.enter(Phase.RECOVERING, clock="kept" if clock.continues else "new")
             desk.tell("start")
-            self.learn_known(watch)
+            self.load_initial_endpoints(watch)
             desk.recover(same_clock=clock.continues)
             most, refusing = (
                 int(told["sockets"] * house[name]) for name in ("client_connections", "refusing")
@@ -97,7 +97,7 @@
             listener.listen(house["backlog"])
             desk.ready = True
             self.enter(Phase.SERVING, restored=len(desk.held), owed=len(desk.owed))
-            await nursery.start(self.heed_signals)
+            await nursery.start(self.handle_signals)
             for task in (self.clients.serve, desk.notices.serve, self.alarms):
                 nursery.start_soon(task)
             nursery.start_soon(self.sweep, pool)
@@ -108,25 +108,25 @@
             await self.close(listener)
             nursery.cancel_scope.cancel()
         log.close()
-        self.say_figures()
+        self.log_figures()
         self.enter(Phase.ENDED, held=len(desk.held), owed=len(desk.owed))
 
-    def learn_known(self, watch):
+    def load_initial_endpoints(self, watch):
         known = self.roster.read() if self.roster else self.told["known"]
         if self.roster:
             self.desk.discovery.keep = self.roster.keep
-            if known is None:  # a first start: the directory is asked for the whole list
+            if known is None:  # first start: the whole list is requested from discovery
                 return
         try:
             index, _, entries, where = roster_of(known, self.told["terms"]["listed_rates"])
-        except ValueError as cause:  # a bad saved list must not keep the relay from its start
+        except ValueError as cause:  # an invalid saved list must not prevent the start
             say("saved list not read", error=str(cause)[:200])
             return
         watch.index = None if self.roster else index
         self.desk.discovery.learn("saved", entries, where)
 
     async def close(self, listener):
-        """None is left unanswered: what is being read is answered, with 503 by now."""
+        """Shuts down without leaving a request unanswered: requests still being read get 503."""
         self.desk.ready = False
         self.enter(Phase.CLOSING, held=len(self.desk.held), clients=len(self.clients.open))
         self.clients.close_idle(silent_too=True)
@@ -138,26 +138,27 @@
     async def report(self):
         while True:
             await trio.sleep(REPORT_EVERY_S)
-            self.say_figures()
+            self.log_figures()
 
-    def say_figures(self):
+    def log_figures(self):
         if totals := self.desk.figures.take_report():
             say("figures", held=len(self.desk.held), owed=len(self.desk.owed), **totals)
 
-    async def heed_signals(self, task_status):
+    async def handle_signals(self, task_status):
         with trio.open_signal_receiver(signal.SIGTERM, signal.SIGINT, signal.SIGHUP) as signals:
             task_status.started()
             if startup_signals.hangup_came:
-                self.reread()
+                self.reload()
             async for number in signals:
                 if number == signal.SIGHUP:
-                    self.reread()
+                    self.reload()
                 elif self.phase is Phase.SERVING:
                     self.enter(Phase.LEAVING, held=len(self.desk.held))
                     self.desk.tell("stop")
 
-    def reread(self):
-        """A new configuration: the directory moves at once, all held is kept, the rest waits."""
+    def reload(self):
+        """Reloads the configuration. The discovery address changes at once and open messages are kept; other
+        settings take effect at the next start."""
         try:
             told = config.read()
         except Bad as cause:
@@ -193,7 +194,7 @@
                 self.desk.tell("wake")
 
     async def compact(self, log):
-        """Slices of compaction between other work."""
+        """Runs compaction slices between other work."""
         while True:
             busy = log.wants() and self.desk.guarded(log.step)
             await trio.sleep(HOUSE["between_slices" if busy else "notice_pause"] / 1e9)
@@ -215,7 +216,7 @@
     code = 0
     try:
         trio.run(Relay(told).run)
-    except* (Newer, Held) as group:  # refused in one plain line, nothing touched
+    except* (Newer, Held) as group:  # logged in one line; the folder is unchanged
         say("folder not usable", error=str(group.exceptions[0])[:300])
         code = 2
     return code
--- a/courseroute/run/setup.py
+++ b/courseroute/run/setup.py
@@ -1,7 +1,7 @@
-"""What a relay is set to: the platform's JSON and an installation's TOML file make one checked Setup.
+"""The settings of a relay: the platform's JSON and an installation's TOML file both become one Setup.
 
-`Setup.terms()` is the plain map of the settings' trade names that the module is handed; what a file leaves
-out stays absent there. Read by `run.config`; the town (`courseroute.town`) writes such files for its relays.
+`Setup.terms()` is the plain map of settings that is passed to the dispatcher; settings missing in the file
+are absent there. Used by `run.config`; the emulator (`courseroute.town`) writes such files for its relays.
 """
 
 import re
@@ -20,7 +20,7 @@
 
 
 class Limits(Form, kw_only=True):
-    """What the relay may use of its machine."""
+    """Resource limits of the relay."""
 
     memory_mb: Annotated[int, msgspec.Meta(ge=1)] = 192
     descriptors: Annotated[int, msgspec.Meta(ge=16)] = 1024
@@ -33,14 +33,15 @@
 
 
 class Sync(Form, kw_only=True):
-    """When what is written is safe from a power cut too; a process that ends loses nothing in any case."""
+    """When the journal is synced to disk, which protects it from power failure; a process crash loses nothing
+    in any case."""
 
     sync: Literal["off", "interval", "each"] = "off"
     every: Span = "50ms"
 
 
 class Fleet(Form, kw_only=True):
-    """This relay among those that share the partners' limits."""
+    """The position of this relay among those that share the partners' limits."""
 
     relays: Count = 1
     number: Number = 0
@@ -69,7 +70,7 @@
 
 
 class Rules(Form, kw_only=True):
-    """What the relay is held to."""
+    """Guarantees the relay must meet."""
 
     drain_grace: Span | None = None
     ask_within: Span | None = None
@@ -107,7 +108,7 @@
     listen: Place
     directory: Place
     state: str
-    seed: Seed = ""  # empty: drawn at each start
+    seed: Seed = ""  # empty: random at each start
     limits: Limits = msgspec.field(default_factory=Limits)
     log: Log = msgspec.field(default_factory=Log)
     journal: Sync = msgspec.field(default_factory=Sync)
@@ -123,7 +124,7 @@
             yield "lanes", "none", "one table a lane, as [lanes.notice]"
 
     def terms(self):
-        """The settings under the module's names; times in whole nanoseconds, what was left out is absent."""
+        """The dispatcher's settings: durations in whole nanoseconds, missing settings absent."""
         told = {}
         for part in (self.fleet, self.sending, self.rules):
             told |= plain(part)
@@ -136,7 +137,7 @@
 
 
 def plain(part):
-    """A part as a map without what was left out, its spans in nanoseconds."""
+    """A section as a map without missing settings, durations in nanoseconds."""
     return {
         name: span(value) if SPANS.fullmatch(name) else value
         for name, value in msgspec.structs.asdict(part).items()
@@ -145,7 +146,7 @@
 
 
 def told_of(terms):
-    """A `terms` map (as `model.terms.terms_of` reads the platform's settings) in the shape of a file."""
+    """A `terms` map (as `model.terms.terms_of` reads the platform's settings) in the layout of a file."""
 
     def shaped(form, part):
         return {
--- a/courseroute/run/standstill.py
+++ b/courseroute/run/standstill.py
@@ -1,17 +1,17 @@
-"""How long the process stood still: a request that it reads then may have lain unread for as long."""
+"""Detects stalls of the process: a request read after a stall may have waited unread for as long."""
 
 import trio
 
-NOTABLE_NS = 50_000_000  # of lateness in the event loop
-READ_WITHIN_NS = 100_000_000  # what came meanwhile is read within this of going on
+MIN_STALL_NS = 50_000_000  # delay of the event loop that counts as a stall
+READ_WITHIN_NS = 100_000_000  # requests that arrived during a stall are read within this time after it
 
 
 class Standstills(trio.abc.Instrument):
-    """Watches the event loop. Times are nanoseconds of `clock`, which runs on while the process stands."""
+    """Observes the event loop. Times are nanoseconds of `clock`, which also advances during a stall."""
 
     def __init__(self, clock):
         self.clock, self.seen_at = clock, clock()
-        self.began = self.ended = None  # of the last one
+        self.began = self.ended = None  # of the last stall
 
     def before_io_wait(self, timeout):
         self.look(0.0)
@@ -20,9 +20,9 @@
         self.look(timeout)
 
     def look(self, expected_s):
-        """Called from the loop, `expected_s` seconds after the last time at the most."""
+        """Called from the loop, at most `expected_s` seconds after the previous call unless stalled."""
         now = self.clock()
-        if now - self.seen_at > expected_s * 1e9 + NOTABLE_NS:
+        if now - self.seen_at > expected_s * 1e9 + MIN_STALL_NS:
             if not self.is_recent(self.seen_at):
                 self.began = self.seen_at
             self.ended = now
@@ -32,6 +32,6 @@
         return self.ended is not None and now - self.ended <= READ_WITHIN_NS
 
     def unread_for(self):
-        """How long a request that is read now may have waited for that, in nanoseconds."""
+        """How long a request read now may have waited unread, in nanoseconds."""
         now = self.clock()
         return now - self.began if self.is_recent(now) else 0
