--- a/courseroute/journal/frames.py
+++ b/courseroute/journal/frames.py
@@ -2,10 +2,10 @@
 
 A segment begins with a header of 32 bytes: the magic `courjrnl`, the format version and 0 (two bytes each),
 the segment's number (eight), xxh32 of the relay's name (four), a random salt (four), xxh32 of the 28 bytes
-before it. Records follow: the magic C0 DE, the kind (one byte), 0, the size of what follows (four), its xxh32 seeded
-with the salt and the kind (four); then the fields as a line of JSON, and a body where there is one. Numbers
-are little-endian. The salt never leaves the relay, so no client can send a body that would pass for a valid
-record when a reader searches for the next one behind damaged bytes.
+before it. Records follow: the magic C0 DE, the kind (one byte), 0, the size of what follows (four), its xxh32
+seeded with the salt and the kind (four); then the fields as a line of JSON, and a body where there is one.
+Numbers are little-endian. The salt never leaves the relay, so no client can send a body that would pass
+for a valid record when a reader searches for the next one behind damaged bytes.
 """
 
 import struct
