--- a/courseroute/checked.py
+++ b/courseroute/checked.py
@@ -2,7 +2,8 @@
 
 Called by `run.setup` (a relay's configuration) and `town.script` (an emulator script). Durations in files are
 text, a number and a unit; `span` converts them to nanoseconds. A file's schema is a Struct of Structs, lists,
-maps with text keys and plain values; a Struct may have a `faults` method that finds what types cannot.
+maps with text keys and plain values; a Struct may have a `faults` method that reports invalid values which
+the types cannot express.
 """
 
 import difflib
--- a/courseroute/journal/store.py
+++ b/courseroute/journal/store.py
@@ -38,8 +38,8 @@
 
     `first_segment` and `first_bytes`: the segment with its first record, and its live bytes there;
     `other_bytes`: its live bytes in other segments, by segment number, or None; `holding_segments`: numbers
-    of the segments that contain its accepting or closing record, including superseded copies;
-    `notice_pending`: its final notice is not yet acknowledged.
+    of the segments that contain its accepting record or the record of its pending notice, including
+    superseded copies; `notice_pending`: its final notice is not yet acknowledged.
     """
     __slots__ = ("first_segment", "first_bytes", "other_bytes", "holding_segments", "notice_pending")
 
--- a/courseroute/run/config.py
+++ b/courseroute/run/config.py
@@ -66,7 +66,7 @@
         raise Bad(path, [mistake]) from None
     told_figures = figures(made(shape, Setup, path, strict=False))
     for kind in told_figures["terms"]["kinds"].values():
-        kind["per_call"] = 1  # the socket protocol carries one message per call
+        kind["per_call"] = 1  # whatever the settings say: the socket protocol carries one message per call
     return told_figures | {"known": told.get("known"), "keeps_list": False}
 
 
