--- a/courseroute/journal/tools.py
+++ b/courseroute/journal/tools.py
@@ -1,7 +1,7 @@
-"""Looks into and mends a relay's folder: verify, stat, dump, compact, salvage. Called by the command line.
+"""Inspects and repairs a relay's folder: verify, stat, dump, compact, salvage. Called by the command line.
 
-All but `dump`, `stat` and `verify` change files and want a folder that no relay holds; the lock on the folder
-tells. What is read is read as the relay reads it, but nothing is cut.
+`compact` changes the folder and takes its lock, which fails while a relay uses the folder; `salvage` writes
+to another folder. Records are interpreted as the relay does, but incomplete ones are not truncated.
 """
 
 import os
@@ -32,7 +32,7 @@
 
 
 def segments(folder):
-    """(file, number or None, its bytes) of each segment, oldest first."""
+    """(file name, number or None if the header is invalid, content) of each segment, oldest first."""
     disk = Disk(folder)
     for name in disk.names():
         if name.startswith(PREFIX):
@@ -41,33 +41,36 @@
 
 
 def rows(folder):
-    """Every stretch of the folder's segments (and of an earlier version's log) as a plain map."""
+    """Every record and unreadable range of the folder's segments, and of an earlier version's log, as a plain
+    map."""
     disk = Disk(folder)
     if old.NAME in disk.names():
-        for kind, told, body in old.records(disk.read(old.NAME)):
-            yield {"segment": old.NAME, **row_of(kind, told, len(body))}
+        for kind, fields, body in old.records(disk.read(old.NAME)):
+            yield {"segment": old.NAME, **row_of(kind, fields, len(body))}
     for name, number, data in segments(folder):
         if number is None:
             yield {"segment": name, "kind": "foreign", "at": 0, "bytes": len(data)}
             continue
         for one in frames.scan(data):
-            place = {"segment": name, "at": one.at, "bytes": one.end - one.at}
+            location = {"segment": name, "at": one.at, "bytes": one.end - one.at}
             if one.kind is None:
-                yield {**place, "kind": "torn" if one.torn else "damaged"}
+                yield {**location, "kind": "torn" if one.torn else "damaged"}
             else:
-                yield {**place, **row_of(one.kind, one.told, len(one.body))}
+                yield {**location, **row_of(one.kind, one.told, len(one.body))}
 
 
-def row_of(kind, told, body):
+def row_of(kind, values, body_bytes):
+    """The plain map of one record, with its fields under the names that the commands print."""
     name = NAMES.get(kind, "unknown")
-    fields = dict(zip(FIELDS[name], told, strict=False)) if name in FIELDS else {"told": told}
+    fields = dict(zip(FIELDS[name], values, strict=False)) if name in FIELDS else {"told": values}
     if name == "over":
-        fields["segments"] = told[2:]
-    return {"kind": name, **fields, **({"body": body} if name == "taken" else {})}
+        fields["segments"] = values[2:]
+    return {"kind": name, **fields, **({"body": body_bytes} if name == "taken" else {})}
 
 
 def state(folder):
-    """What is left of the records: held messages with their legs, notices owed, recent ends, what is bad."""
+    """The state that the records describe: open messages with their attempts, pending notices, recently
+    closed messages, and the ranges that could not be read."""
     bad = [
         {part: row[part] for part in ("segment", "kind", "at", "bytes")}
         for row in rows(folder)
@@ -75,9 +78,9 @@
     ]
     now, held = replayed(folder), {}
     for name, kept in now.held.items():
-        told = row_of(frames.TAKEN, kept.told, len(kept.body))
-        held[name] = {part: told[part] for part in ("lane", "dst", "deadline", "customer", "body")}
-        held[name]["legs"] = [dict(zip(("host", "at", "ending"), leg, strict=True)) for leg in kept.legs]
+        row = row_of(frames.TAKEN, kept.told, len(kept.body))
+        held[name] = {part: row[part] for part in ("lane", "dst", "deadline", "customer", "body")}
+        held[name]["legs"] = [dict(zip(("host", "at", "ending"), one, strict=True)) for one in kept.legs]
     return {
         "held": held,
         "owed": {name: state for name, (state, _) in now.owed.items()},
@@ -87,11 +90,11 @@
 
 
 def replayed(folder):
-    """What a relay would make of the folder."""
+    """Replays the folder's records as a relay does at startup."""
     replay, disk = Replay(), Disk(folder)
     if old.NAME in disk.names():
-        for kind, told, body in old.records(disk.read(old.NAME)):
-            replay.feed(kind, told, body)
+        for kind, fields, body in old.records(disk.read(old.NAME)):
+            replay.feed(kind, fields, body)
     for _, number, data in segments(folder):
         if number is None:
             replay.damage()
@@ -105,14 +108,15 @@
 
 
 def verify(folder):
-    """What is bad in the folder; a torn end of the newest segment is none: a crash leaves it."""
+    """The unreadable ranges of the folder, except an incomplete record at the end of the newest segment,
+    which a crash may leave."""
     bad = state(folder)["bad"]
     newest = max((name for name, _, _ in segments(folder)), default="")
     return [one for one in bad if not (one["kind"] == "torn" and one["segment"] == newest)]
 
 
 def stat(folder):
-    """Figures of each segment: bytes, records by kind, bytes of what is held or owed."""
+    """Totals by segment: bytes, records by kind, bytes of open messages and pending notices."""
     now = state(folder)
     live = now["held"].keys() | now["owed"].keys()
     found = {}
@@ -127,7 +131,7 @@
 
 
 def compact(folder, most):
-    """Rewrites what is live into fresh segments; (bytes before, bytes after)."""
+    """Rewrites live records into new segments and removes the old ones; (bytes before, bytes after)."""
     handle = lock(folder)
     try:
         before = size(folder)
@@ -135,12 +139,12 @@
         journal = Journal(Disk(folder), max(most, 3 * before), syncs=True)
         for _ in journal.read():
             pass
-        gone = [name for name, _, _ in segments(folder)]
+        replaced = [name for name, _, _ in segments(folder)]
         for parts in live:
             journal.append(parts)
         journal.sync()
         journal.close()
-        for name in gone:
+        for name in replaced:
             journal.disk.remove(name)
         return before, size(folder)
     finally:
@@ -148,8 +152,9 @@
 
 
 def salvage(folder, target):
-    """Writes every good record of a damaged folder into a fresh one; what was left out. Messages taken on
-    before a bad stretch get a leg that may have run: their calls, or their ends, may have stood there."""
+    """Writes the readable live records of a damaged folder to a new one; returns the unreadable ranges.
+    Messages accepted before an unreadable range get an attempt that may have run, as records of their
+    attempts or of their end may have been in it."""
     target = str(target)
     os.makedirs(target, exist_ok=True)
     if os.listdir(target):
@@ -164,24 +169,27 @@
 
 
 def live_records(folder):
-    """The records of each message that is held or owed, and of recent ends, in order of taking on."""
+    """The records of each open message, in order of acceptance, then of each pending notice and of each
+    recently closed message."""
     now = replayed(folder)
     for name, kept in now.held.items():
         yield [
             frames.record(frames.TAKEN, kept.told, kept.body),
-            *(frames.record(frames.CALL, [name, n, *leg]) for n, leg in enumerate(kept.legs)),
+            *(frames.record(frames.CALL, [name, n, *attempt]) for n, attempt in enumerate(kept.legs)),
         ]
-    for name, told in now.owed.items():
-        yield [frames.record(frames.OWED, [name, *told])]
+    for name, notice in now.owed.items():
+        yield [frames.record(frames.OWED, [name, *notice])]
     for name, end in now.ends.items():
         if name not in now.owed:
             yield [frames.record(frames.OVER, [name, end])]
 
 
 def size(folder):
+    """Total bytes of the segments."""
     return sum(len(data) for _, _, data in segments(folder))
 
 
 def lines(folder):
+    """The rows of `rows`, each as a line of JSON without the line end."""
     for row in rows(folder):
         yield orjson.dumps(row)
--- a/courseroute/journal/torture.py
+++ b/courseroute/journal/torture.py
@@ -1,10 +1,11 @@
-"""Scripted lives of a desk on a faulty disk: whatever is cut off, nothing is lost, nothing ended returns.
+"""Crash tests of the journal: scripted operations of a message tracker on a faulty disk. Wherever a crash
+interrupts them, no accepted message is lost and no closed message is reopened.
 
     python -m courseroute.journal.torture --runs 1000
 
-Called by the tests (every call of a short script, cut before, half-way and after) and by
-`make torture-journal` (random scripts and points, full disks). `Model` knows what was acknowledged; a
-recovered desk is held against it.
+Called by the tests (a crash before, half-way through and after every disk call of a short script) and by
+`make torture-journal` (random scripts and crash points, full disks). `Model` records what was acknowledged; a
+recovered tracker is checked against it.
 """
 import itertools
 import os
@@ -23,15 +24,15 @@
 from courseroute.model.causes import CloseCause
 from courseroute.state.desk import Desk
 
-MOST = 60_000
-TICK = 300_000      # a look at the clock: slices of a few records
-NEVER_RAN = "full"
-WRITE_COUNT_BYTES = 8       # a writer reports its count after each write
-MOST_WRITES_AWAITED = 3     # before a writer is killed
+MAX_JOURNAL_BYTES = 60_000
+CLOCK_STEP_NS = 300_000     # advance per clock reading: a compaction slice copies a few records
+NOT_RUN_ENDING = "full"
+WRITE_COUNT_BYTES = 8       # size of the counter that a writer reports after each write
+MAX_WRITES_AWAITED = 3      # before a writer is killed
 
 
-class Still:
-    """A module that decides nothing, and remembers what a new life was told."""
+class IdleDispatcher:
+    """A dispatcher that takes no action and records the messages it is given on recovery."""
 
     def __init__(self):
         self.taken = {}
@@ -41,212 +42,230 @@
         return []
 
     def __getattr__(self, _):
-        return lambda *told: []
+        return lambda *args: []
 
 
-class Quiet:
-    """Hosts and notices that do nothing of themselves."""
+class NoOp:
+    """A substitute for hosts and notices whose methods do nothing."""
 
     def __getattr__(self, _):
-        return lambda *told: None
+        return lambda *args: None
 
 
-def desk_on(disk, most=MOST, syncs=False):
-    ticks = itertools.count(0, TICK)        # no real time: the same script makes the same calls
+def start_tracker(disk, most=MAX_JOURNAL_BYTES, syncs=False):
+    """Recovers a message tracker from the journal on `disk`, as a new process does."""
+    # No real time: the same script always makes the same disk calls.
+    ticks = itertools.count(0, CLOCK_STEP_NS)
     salts = itertools.count(7)
     journal = Journal(disk, most, "n0", syncs, lambda: next(ticks), lambda: next(salts))
-    said = []
-    desk = Desk(Still(), {"lanes": {"a": {}}, "legs": 2}, HOUSE | {"ends": 4}, journal, 1 << 30,
+    events = []
+    desk = Desk(IdleDispatcher(), {"lanes": {"a": {}}, "legs": 2}, HOUSE | {"ends": 4}, journal, 1 << 30,
                 lambda: next(ticks),
-                lambda event, **told: said.append((event, told)))
-    desk.hosts = desk.notices = Quiet()
-    desk.ready, desk.said = True, said
+                lambda event, **fields: events.append((event, fields)))
+    desk.hosts = desk.notices = NoOp()
+    desk.ready, desk.events = True, events
     desk.recover()
     return desk
 
 
 class Model:
-    """What was acknowledged, message by message; `doubt`: an act was cut off, so that either end is right.
-    `held` has the numbers of the calls that left."""
+    """What was acknowledged for each message.
 
-    def __init__(self):
-        self.held, self.owed, self.over, self.doubt, self.unsure = {}, {}, set(), set(), set()
+    `open_messages`: numbers of the sent attempts, by message name; `pending_notices`: final state, by message
+    name; `closed`: names of closed messages; `interrupted`: names of messages whose operation was
+    interrupted, so that the state before or after it is correct; `unwritten`: names of messages whose latest
+    record is not written yet.
+    """
 
-    def act(self, desk, what, name, size):
-        """Does one thing at the desk and, once it came back, notes it."""
-        self.doubt.add(name)
-        if what == "take":
-            told = {"name": name, "dst": "7", "lane": "a", "left": 10 ** 10, "mark": "m", "customer": "",
+    def __init__(self):
+        self.open_messages, self.pending_notices, self.closed, self.interrupted, self.unwritten = (
+            {}, {}, set(), set(), set())
+
+    def apply(self, desk, what, name, size):
+        """Runs one operation on the tracker and records its result once it has returned."""
+        self.interrupted.add(name)
+        if what == "accept":
+            message = {"name": name, "dst": "7", "lane": "a", "left": 10 ** 10, "mark": "m", "customer": "",
                     "key": "", "again": False, "body": (name.encode() * size)[:size]}
-            if desk.take(told, False)[0] == 202 and name not in self.over and name not in self.owed:
-                self.held.setdefault(name, [])
+            if (desk.take(message, False)[0] == 202 and name not in self.closed
+                    and name not in self.pending_notices):
+                self.open_messages.setdefault(name, [])
         elif name in desk.held and what == "send":
             count = len(desk.held[name].legs)
             unsent = []
-            desk.hosts = Quiet()
-            desk.hosts.__dict__["unsent"] = lambda *told: unsent.append(told)
+            desk.hosts = NoOp()
+            desk.hosts.__dict__["unsent"] = lambda *args: unsent.append(args)
             desk.do_send(name, "h", 0)
             if unsent:
                 desk.returned(name, count, "h", "unsent", 0, False, 0, None)
             elif len(desk.held[name].legs) > count:
-                self.held[name].append(count)
-        elif name in desk.held and what == "back" and self.held[name]:
-            desk.returned(name, self.held[name][-1], "h", NEVER_RAN, 0, False, 0, None)
-        elif name in desk.held and what == "finish":
+                self.open_messages[name].append(count)
+        elif name in desk.held and what == "end attempt" and self.open_messages[name]:
+            desk.returned(name, self.open_messages[name][-1], "h", NOT_RUN_ENDING, 0, False, 0, None)
+        elif name in desk.held and what == "complete":
             desk.finish(desk.held[name], "delivered")
-            self.ended(desk, name, None)
-        elif name in desk.held and what == "end":
+            self.note_closed(desk, name, None)
+        elif name in desk.held and what == "close":
             desk.end(name, "failed", 0, CloseCause.DEADLINE)
-            self.ended(desk, name, "failed")
-        elif name in desk.owed and what == "told":
+            self.note_closed(desk, name, "failed")
+        elif name in desk.owed and what == "acknowledge":
             desk.told_of([name])
-            self.ended(desk, name, None)
+            self.note_closed(desk, name, None)
         elif what == "compact":
             desk.log.step(hurry=True)
             desk.write_late()
-            self.unsure = set(desk.unwritten)
-        self.doubt.discard(name)
-
-    def ended(self, desk, name, owed):
-        """Acknowledged only where it was written: a note that did not fit may be asked for again."""
-        self.held.pop(name, None)
-        self.owed.pop(name, None)
+            self.unwritten = set(desk.unwritten)
+        self.interrupted.discard(name)
+
+    def note_closed(self, desk, name, owed):
+        """Records the end of a message. It counts as acknowledged only if its record was written: one that
+        did not fit is written later."""
+        self.open_messages.pop(name, None)
+        self.pending_notices.pop(name, None)
         if owed:
-            self.owed[name] = owed
+            self.pending_notices[name] = owed
         else:
-            self.over.add(name)
-        self.unsure = set(desk.unwritten)
+            self.closed.add(name)
+        self.unwritten = set(desk.unwritten)
 
     def check(self, desk):
-        """What a new life must know; an AssertionError names what it does not."""
-        surely = self.doubt | self.unsure
+        """Checks a recovered tracker; raises AssertionError naming the first difference."""
+        unknown = self.interrupted | self.unwritten
         assert not desk.log.losses, desk.log.losses
-        for name, legs in self.held.items():
-            if name not in surely:
-                assert name in desk.held, f"{name} was taken on and is lost"
-                known = [ending for _, _, ending in desk.held[name].legs]
-                sent = {n for n, ending in enumerate(known) if ending != "unsent"}
-                assert sent.issuperset(legs), f"{name}: a call is forgotten"
+        for name, attempts in self.open_messages.items():
+            if name not in unknown:
+                assert name in desk.held, f"{name} was accepted and is lost"
+                endings = [ending for _, _, ending in desk.held[name].legs]
+                sent = {n for n, ending in enumerate(endings) if ending != "unsent"}
+                assert sent.issuperset(attempts), f"{name}: a sent attempt is missing"
                 assert desk.held[name].body == (name.encode() * 4000)[:len(desk.held[name].body)]
-        for name, state in self.owed.items():
-            assert name in surely or desk.owed.get(name, (None,))[0] == state, f"{name}: its end is lost"
-        taken = [desk.held[name].at for name in desk.dispatcher.taken]
-        assert taken == sorted(taken), "told the module in another order than taken on"
-        for name in self.over - surely:
-            assert name not in desk.held and name not in desk.owed, f"{name} is over and came back"
-
-
-def script(seed, length):
-    draw = random.Random(seed)
-    names, acts = [], []
+        for name, state in self.pending_notices.items():
+            assert name in unknown or desk.owed.get(name, (None,))[0] == state, (
+                f"{name}: its pending notice is lost")
+        restored = [desk.held[name].at for name in desk.dispatcher.taken]
+        assert restored == sorted(restored), "the messages were not restored in the order of acceptance"
+        for name in self.closed - unknown:
+            assert name not in desk.held and name not in desk.owed, f"{name} was closed and is open again"
+
+
+def random_script(seed, length):
+    """A random list of (operation, message name, body size in bytes)."""
+    rng = random.Random(seed)
+    names, operations = [], []
     for i in range(length):
-        what = draw.choices(("take", "send", "back", "finish", "end", "told", "compact"),
+        what = rng.choices(("accept", "send", "end attempt", "complete", "close", "acknowledge", "compact"),
                             (10, 6, 2, 6, 3, 3, 3))[0]
-        if what == "take" or not names:
+        if what == "accept" or not names:
             names.append(f"m{i}")
-            what = "take"
-        name = names[-1] if what == "take" else draw.choice(names[-12:])
-        acts.append((what, name, draw.choice((20, 200, 2000))))
-    return acts
+            what = "accept"
+        name = names[-1] if what == "accept" else rng.choice(names[-12:])
+        operations.append((what, name, rng.choice((20, 200, 2000))))
+    return operations
 
 
-def further(seed):
-    return [(what, f"x{name}", size) for what, name, size in script(seed + 1, 30)]
+def continuation(seed):
+    """Operations on other messages, run after a recovery."""
+    return [(what, f"x{name}", size) for what, name, size in random_script(seed + 1, 30)]
 
 
-def play(acts, disk, model):
-    """Runs a script until its end or the disk's; whether it ended."""
+def run_script(operations, disk, model):
+    """Runs a script until its end or a simulated crash; returns whether it reached its end."""
     try:
-        desk = desk_on(disk)
-        for act in acts:
-            model.act(desk, *act)
+        desk = start_tracker(disk)
+        for operation in operations:
+            model.apply(desk, *operation)
     except Crash:
         return False
     return True
 
 
-def recovered(disk, model, again):
-    """A new life on what is left, held against the model; then it goes on, and a third life is held too."""
-    left = disk.after()
-    desk = desk_on(left)
+def check_recovery(disk, model, again):
+    """Recovers from what the crash left and checks the result; runs further operations, recovers and
+    checks again."""
+    remaining = disk.after()
+    desk = start_tracker(remaining)
     model.check(desk)
-    model.held = {name: [n for n, (_, _, ending) in enumerate(msg.legs) if ending != "unsent"]
+    model.open_messages = {name: [n for n, (_, _, ending) in enumerate(msg.legs) if ending != "unsent"]
                   for name, msg in desk.held.items()}
-    model.owed = {name: state for name, (state, _) in desk.owed.items()}
-    model.over = {name for name in model.over | model.doubt if name not in desk.held
+    model.pending_notices = {name: state for name, (state, _) in desk.owed.items()}
+    model.closed = {name for name in model.closed | model.interrupted if name not in desk.held
                   and name not in desk.owed}
-    model.doubt, model.unsure = set(), set()
-    for act in again:
-        model.act(desk, *act)
-    model.check(desk_on(left.after()))
-
-
-def cut_everywhere(seed, length, parts=(0, 0.5, 1.0)):
-    """Every call of one script, cut before, half-way and after; how many cuts."""
-    acts, again = script(seed, length), further(seed)
-    whole = FaultyDisk()
-    assert play(acts, whole, Model())
-    for at in range(1, whole.calls + 1):
+    model.interrupted, model.unwritten = set(), set()
+    for operation in again:
+        model.apply(desk, *operation)
+    model.check(start_tracker(remaining.after()))
+
+
+def crash_at_every_call(seed, length, parts=(0, 0.5, 1.0)):
+    """Crashes one script at each of its disk calls, after each fraction in `parts` of the call; returns the
+    number of crashes."""
+    operations, again = random_script(seed, length), continuation(seed)
+    uncut = FaultyDisk()
+    assert run_script(operations, uncut, Model())
+    for at in range(1, uncut.calls + 1):
         for part in parts:
             disk, model = FaultyDisk(), Model()
             disk.crash_at, disk.part = at, part
-            assert not play(acts, disk, model)
+            assert not run_script(operations, disk, model)
             try:
-                recovered(disk, model, again)
+                check_recovery(disk, model, again)
             except AssertionError as cause:
                 raise AssertionError(f"seed {seed}, call {at}, part {part}: {cause}") from cause
-    return whole.calls * len(parts)
-
-
-def cut_at_random(seed, length):
-    """One random script, cut at one random call, the disk full or failing now and then."""
-    draw = random.Random(seed)
-    acts = script(seed, length)
-    disk, model = FaultyDisk(draw.choice((None, None, 20_000, 35_000))), Model()
-    disk.crash_at, disk.part = draw.randrange(1, 2 * length), draw.random()
-    for _ in range(draw.randrange(4)):
-        disk.fails[draw.randrange(1, 2 * length)] = draw.choice((28, 5))
-        disk.short.add(draw.randrange(1, 2 * length))
-    play(acts, disk, model)
+    return uncut.calls * len(parts)
+
+
+def crash_at_random_call(seed, length):
+    """Crashes a random script at a random disk call, with occasional disk errors and a disk that may be full.
+
+    Returns (whether the crash came, whether any disk error was set).
+    """
+    rng = random.Random(seed)
+    operations = random_script(seed, length)
+    disk, model = FaultyDisk(rng.choice((None, None, 20_000, 35_000))), Model()
+    disk.crash_at, disk.part = rng.randrange(1, 2 * length), rng.random()
+    for _ in range(rng.randrange(4)):
+        disk.fails[rng.randrange(1, 2 * length)] = rng.choice((28, 5))
+        disk.short.add(rng.randrange(1, 2 * length))
+    run_script(operations, disk, model)
     disk.room = None
-    recovered(disk, model, further(seed))
+    check_recovery(disk, model, continuation(seed))
     return disk.crash_at <= disk.calls, bool(disk.fails) or disk.room is not None
 
 
-def complain(event, **told):
-    raise AssertionError(f"{event}: {told}")
+def fail_on_event(event, **fields):
+    raise AssertionError(f"{event}: {fields}")
 
 
 def kill_writers(kills, folder, seed=1):
-    """A process writes learned state as fast as it can and is killed, again and again: what is read is always
-    whole and never older than what came back from `keep`. How many writes were seen.
+    """Kills a process that writes learned state continuously, `kills` times. The state read afterwards must
+    be complete and no older than the last write that returned. Returns the number of completed writes.
 
-    Each process is killed a random moment after a random number of its writes came back, so that the number
-    of writes seen does not depend on how long the disk takes for a sync.
+    Each process is killed at a random time after a random number of its writes returned, so that the number
+    of completed writes does not depend on how long the disk takes for a sync.
     """
-    draw, seen, last = random.Random(seed), 0, -1
+    rng, seen, last = random.Random(seed), 0, -1
     for _ in range(kills):
-        out, into = os.pipe()
+        reader, writer = os.pipe()
         child = os.fork()
         if not child:
-            learned, count = Learned(folder, lambda *told, **more: None), last
+            learned, count = Learned(folder, lambda *args, **fields: None), last
             while True:
                 count += 1
                 learned.keep([["host", [count], ["x" * 4000]]], count)
-                os.write(into, count.to_bytes(WRITE_COUNT_BYTES, "little"))
-        os.close(into)
-        with open(out, "rb") as pipe:
-            told = pipe.read(WRITE_COUNT_BYTES * draw.randint(0, MOST_WRITES_AWAITED))
-            time.sleep(draw.uniform(0, 0.02))
+                os.write(writer, count.to_bytes(WRITE_COUNT_BYTES, "little"))
+        os.close(writer)
+        with open(reader, "rb") as pipe:
+            reports = pipe.read(WRITE_COUNT_BYTES * rng.randint(0, MAX_WRITES_AWAITED))
+            time.sleep(rng.uniform(0, 0.02))
             os.kill(child, signal.SIGKILL)
             os.waitpid(child, 0)
-            told += pipe.read()
-        if told:
-            seen += len(told) // WRITE_COUNT_BYTES
-            last = int.from_bytes(told[-WRITE_COUNT_BYTES:], "little")
-        found, at = Learned(folder, complain).read()
+            reports += pipe.read()
+        if reports:
+            seen += len(reports) // WRITE_COUNT_BYTES
+            last = int.from_bytes(reports[-WRITE_COUNT_BYTES:], "little")
+        found, at = Learned(folder, fail_on_event).read()
         now = found[0][1][0] if found else -1
-        assert last <= now <= last + 1 and (now < 0 or at == now), f"{now} was read, {last} had come back"
+        assert last <= now <= last + 1 and (now < 0 or at == now), f"{now} was read, {last} had been written"
         last = now
     return seen
 
@@ -255,23 +274,23 @@
 @click.option("--runs", default=1000, show_default=True)
 @click.option("--seed", default=1, show_default=True)
 @click.option("--length", default=400, show_default=True)
-@click.option("--kills", default=500, show_default=True, help="Of a process that writes learned state.")
+@click.option("--kills", default=500, show_default=True, help="Kills of a process that writes learned state.")
 def main(runs, seed, length, kills):
-    """Cut scripted lives off; say how many held."""
+    """Crashes scripted operations and reports how many recoveries were correct."""
     with tempfile.TemporaryDirectory() as folder:
         writes = kill_writers(kills, folder, seed)
-        click.echo(f"{kills} kills of a writer of learned state, {writes} writes: whole each time")
-    cuts, broken = 0, []
+        click.echo(f"{kills} kills of a writer of learned state, {writes} writes: state complete each time")
+    crashes, failed = 0, []
     for number in range(seed, seed + runs):
         try:
-            cuts += cut_at_random(number, length)[0]
+            crashes += crash_at_random_call(number, length)[0]
         except AssertionError as cause:
-            broken.append(number)
+            failed.append(number)
             click.echo(f"seed {number}: {cause}")
-    everywhere = sum(cut_everywhere(number, 150) for number in range(seed, seed + max(1, runs // 100)))
-    click.echo(f"{runs} random lives, {cuts} cut off by a crash, {everywhere} enumerated cuts, "
-               f"{len(broken)} broken")
-    sys.exit(bool(broken))
+    enumerated = sum(crash_at_every_call(number, 150) for number in range(seed, seed + max(1, runs // 100)))
+    click.echo(f"{runs} random scripts, {crashes} crashed, {enumerated} enumerated crashes, "
+               f"{len(failed)} failed")
+    sys.exit(bool(failed))
 
 
 if __name__ == "__main__":
--- a/courseroute/run/console.py
+++ b/courseroute/run/console.py
@@ -1,4 +1,5 @@
-"""structlog's side of the log, loaded only where an installation's own command starts the relay."""
+"""Renders log lines with structlog. Loaded only under `courseroute serve` or for the console format, as
+structlog takes memory."""
 
 import datetime
 import sys
@@ -9,18 +10,18 @@
 
 
 def renderer(form):
-    """Renders one event's plain map to a line's bytes through structlog's processors."""
+    """Returns a function that renders an event, given as a plain map, to the bytes of one log line."""
     if form == "console":
-        chain = [stamp, ConsoleRenderer(colors=sys.stdout.isatty(), sort_keys=False, pad_event_to=30)]
+        processors = [stamp, ConsoleRenderer(colors=sys.stdout.isatty(), sort_keys=False, pad_event_to=30)]
     else:
 
         def dumps(line, **_):
             return orjson.dumps(line, default=str)
 
-        chain = [structlog.processors.JSONRenderer(serializer=dumps)]
+        processors = [structlog.processors.JSONRenderer(serializer=dumps)]
 
     def render(line):
-        for processor in chain:
+        for processor in processors:
             line = processor(None, line.get("level", "info"), line)
         return (line.encode() if isinstance(line, str) else line) + b"\n"
 
@@ -28,6 +29,6 @@
 
 
 def stamp(_, __, line):
-    """The time of day for people, in place of milliseconds."""
+    """A structlog processor: replaces the Unix time in milliseconds by the local time of day."""
     at = datetime.datetime.fromtimestamp(line.pop("at") / 1000)
     return {"timestamp": at.strftime("%H:%M:%S.%f")[:-3], **line}
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -114,12 +114,12 @@
 
 
 def test_every_call_of_a_script_may_be_the_last_one():
-    assert torture.cut_everywhere(3, 90) > 200
+    assert torture.crash_at_every_call(3, 90) > 200
 
 
 def test_random_lives_with_full_and_failing_disks_lose_nothing():
     for seed in range(1000, 1060):
-        torture.cut_at_random(seed, 250)
+        torture.crash_at_random_call(seed, 250)
 
 
 @pytest.mark.parametrize("name, wrong", [
@@ -131,26 +131,26 @@
 def test_the_torture_sees_a_journal_that_is_wrong(monkeypatch, name, wrong):
     monkeypatch.setattr(Journal, name, wrong)
     with pytest.raises((AssertionError, KeyError)):
-        torture.cut_everywhere(3, 70)
+        torture.crash_at_every_call(3, 70)
         for seed in range(1000, 1060):
-            torture.cut_at_random(seed, 250)
+            torture.crash_at_random_call(seed, 250)
 
 
 def test_a_power_cut_costs_nothing_that_was_synced():
-    acts = [act for act in torture.script(5, 120) if act[0] != "told"]
+    operations = [operation for operation in torture.random_script(5, 120) if operation[0] != "acknowledge"]
     whole = FaultyDisk()
-    torture.play(acts, whole, torture.Model())
+    torture.run_script(operations, whole, torture.Model())
     for at in range(3, whole.calls, 3):
         disk, model = FaultyDisk(), torture.Model()
         disk.crash_at = at
-        desk = torture.desk_on(disk, syncs=True)
+        desk = torture.start_tracker(disk, syncs=True)
         try:
-            for act in acts:
-                model.act(desk, *act)
+            for operation in operations:
+                model.apply(desk, *operation)
                 desk.log.sync()         # as with `each`
         except Crash:
             pass
-        model.check(torture.desk_on(disk.after(power_cut=True)))
+        model.check(torture.start_tracker(disk.after(power_cut=True)))
 
 
 # Full disks.
@@ -208,14 +208,14 @@
 @pytest.mark.parametrize("code", [errno.ENOSPC, errno.EIO])
 def test_a_call_that_left_behind_one_that_could_not_be_written_is_known_to_the_next_life(code):
     disk, model = FaultyDisk(), torture.Model()
-    desk = torture.desk_on(disk)
-    model.act(desk, "take", "m", 200)
+    desk = torture.start_tracker(disk)
+    model.apply(desk, "accept", "m", 200)
     disk.fails = {disk.calls + n: code for n in (1, 2)}     # the record, and its taking back
-    model.act(desk, "send", "m", 200)
+    model.apply(desk, "send", "m", 200)
     disk.fails = {}
-    model.act(desk, "send", "m", 200)
-    assert model.held == {"m": [1]}
-    again = torture.desk_on(disk.after())
+    model.apply(desk, "send", "m", 200)
+    assert model.open_messages == {"m": [1]}
+    again = torture.start_tracker(disk.after())
     model.check(again)
     assert again.held["m"].legs[1][0] == "h" and again.dispatcher.taken["m"][1][2] is None
 
@@ -233,20 +233,20 @@
 
 
 def test_damage_is_counted_by_place_and_what_it_may_hide_counts_as_run(tmp_path):
-    desk = torture.desk_on(Disk(tmp_path))
+    desk = torture.start_tracker(Disk(tmp_path))
     model = torture.Model()
     for name in ("a", "b", "c"):
-        model.act(desk, "take", name, 50)
+        model.apply(desk, "accept", name, 50)
     path = tmp_path / "seg-0000000001"
     data = bytearray(path.read_bytes())
     data[data.index(b'["b"') + 3] ^= 1
     path.write_bytes(data)
     (tmp_path / "seg-0000000000").write_bytes(b"something else")
     (tmp_path / "notes.txt").write_text("foreign")
-    again = torture.desk_on(Disk(tmp_path))
+    again = torture.start_tracker(Disk(tmp_path))
     assert list(again.held) == ["a", "c"] and again.dispatcher.taken["a"] == [("", 0, None)]
     assert again.dispatcher.taken["c"] == []        # taken on behind the damage
-    assert [event for event, _ in again.said] == ["journal damaged"] * 2
+    assert [event for event, _ in again.events] == ["journal damaged"] * 2
     assert (tmp_path / "bad-seg-0000000000").exists()
     assert [(loss.segment, loss.size > 20) for loss in again.log.losses] == [(0, False), (1, True)]
 
@@ -254,7 +254,7 @@
 def test_no_body_can_hold_what_is_taken_for_a_record_behind_a_damaged_one():
     """A client that knows the format writes an end of another's message into its own."""
     disk = FaultyDisk()
-    desk = torture.desk_on(disk)
+    desk = torture.start_tracker(disk)
     forged = b"".join(record(OVER, ["b", "over"]).sealed(salt) for salt in (0, 1, SALT))
     told = {"name": "a", "dst": "7", "lane": "a", "left": 10 ** 10, "mark": "", "customer": "", "key": "",
             "again": False}
@@ -262,7 +262,7 @@
     assert desk.take(told | {"body": forged}, False)[0] == 202
     data = disk.files["seg-0000000001"]
     data[data.index(b'["a"') + 2] ^= 1
-    again = torture.desk_on(disk.after())
+    again = torture.start_tracker(disk.after())
     assert list(again.held) == ["b"] and not again.ends and len(again.log.losses) == 1
 
 
@@ -306,16 +306,16 @@
         disk.files = {"log": bytearray(OLD), "log.new": bytearray(b"half")}
         return disk
     whole = fresh()
-    torture.desk_on(whole)
+    torture.start_tracker(whole)
     for at in range(1, whole.calls + 2):
         for part in (0, 0.5, 1.0):
             disk = fresh()
             disk.crash_at, disk.part = at, part
             try:
-                torture.desk_on(disk)
+                torture.start_tracker(disk)
             except Crash:
                 pass
-            desk = torture.desk_on(disk.after())
+            desk = torture.start_tracker(disk.after())
             assert list(desk.held) == ["a"] and desk.held["a"].body == b"\nbody" and desk.owed == {
                 "c": ("failed", 0)} and desk.ends["b"] == "delivered"
             assert not {"log", "log.new"} & set(desk.log.disk.files)
@@ -415,9 +415,9 @@
 def folder(tmp_path):
     path = tmp_path / "state"
     path.mkdir()
-    desk, model = torture.desk_on(Disk(path)), torture.Model()
-    for act in torture.script(11, 150):
-        model.act(desk, *act)
+    desk, model = torture.start_tracker(Disk(path)), torture.Model()
+    for operation in torture.random_script(11, 150):
+        model.apply(desk, *operation)
     desk.log.close()
     return path, desk
 
@@ -437,7 +437,7 @@
     (path / name).write_bytes(data)
     assert [one["kind"] for one in tools.verify(path)] == ["damaged"]
     bad = tools.salvage(path, tmp_path / "fresh")
-    again = torture.desk_on(Disk(tmp_path / "fresh"))
+    again = torture.start_tracker(Disk(tmp_path / "fresh"))
     assert len(bad) == 1 and set(again.held) == set(desk.held) - {first}
     assert set(again.owed) == set(desk.owed) and not again.log.losses
     with pytest.raises(FileExistsError):
