--- a/courseroute/checked.py
+++ b/courseroute/checked.py
@@ -29,6 +29,8 @@
 
 
 class Mistake(NamedTuple):
+    """One invalid value or missing key of a file."""
+
     place: str  # as lanes.notice.target or faults[2].kind
     found: str
     allowed: str
@@ -55,6 +57,7 @@
 
 
 def span_text(ns):
+    """A duration in whole nanoseconds as text, in the largest unit that divides it."""
     return next(
         f"{ns // size}{unit}"
         for unit, size in reversed(NS.items())
@@ -88,10 +91,12 @@
     kind, described = bare(kind)
     if isinstance(kind, type) and issubclass(kind, msgspec.Struct):
         return check_form(told, kind, place, mistakes, strict)
-    if get_origin(kind) is dict and wanted(told, dict, place, mistakes):
+    if get_origin(kind) is dict and has_type(told, dict, place, mistakes):
         part = get_args(kind)[1]
-        return {key: check(value, part, joined(place, key), mistakes, strict) for key, value in told.items()}
-    if get_origin(kind) is list and wanted(told, list, place, mistakes):
+        return {
+            key: check(value, part, join_keys(place, key), mistakes, strict) for key, value in told.items()
+        }
+    if get_origin(kind) is list and has_type(told, list, place, mistakes):
         (part,) = get_args(kind)
         return [check(value, part, f"{place}[{at}]", mistakes, strict) for at, value in enumerate(told)]
     if get_origin(kind) in (dict, list):
@@ -110,20 +115,21 @@
 
 
 def check_form(told, form, place, mistakes, strict):
-    if not wanted(told, dict, place, mistakes):
+    """Converts a map to the Struct `form`, or adds to `mistakes` and returns None."""
+    if not has_type(told, dict, place, mistakes):
         return None
     fields = {field.encode_name: field for field in msgspec.structs.fields(form)}
     before, values = len(mistakes), {}
     for name, value in told.items():
         if name in fields:
             kind = fields[name].type
-            values[fields[name].name] = check(value, kind, joined(place, name), mistakes, strict)
+            values[fields[name].name] = check(value, kind, join_keys(place, name), mistakes, strict)
         else:
             near = difflib.get_close_matches(name, fields, 1)
             meant = f"{near[0]} (meant?), " if near else ""
             mistakes.append(
                 Mistake(
-                    joined(place, name),
+                    join_keys(place, name),
                     "a key that does not exist",
                     meant + ", ".join(key for key in fields if key not in near),
                 )
@@ -131,27 +137,29 @@
     for name, field in fields.items():
         if field.required and name not in told:
             allowed = allowed_by(bare(field.type)[1], "a value")
-            mistakes.append(Mistake(joined(place, name), "nothing", allowed))
+            mistakes.append(Mistake(join_keys(place, name), "nothing", allowed))
     if len(mistakes) > before:
         return None
     thing = form(**values)
     for name, found, allowed in getattr(thing, "faults", list)() if strict else ():
-        mistakes.append(Mistake(joined(place, name), found, allowed))
+        mistakes.append(Mistake(join_keys(place, name), found, allowed))
     return thing
 
 
-def wanted(told, kind, place, mistakes):
+def has_type(told, kind, place, mistakes):
+    """Whether `told` is of type `kind`, dict or list; adds to `mistakes` if not."""
     if isinstance(told, kind):
         return True
     mistakes.append(Mistake(place, shown(told), "a table" if kind is dict else "a list"))
     return False
 
 
-def joined(place, name):
+def join_keys(place, name):
     return f"{place}.{name}" if place else name
 
 
 def shown(value):
+    """The value as text for an error message, shortened to 60 characters."""
     text = repr(value)
     return text if len(text) <= 60 else text[:57] + "..."
 
@@ -171,7 +179,7 @@
     """(place, type in words, default) of every key of a schema, including nested ones, for documentation."""
     for field in msgspec.structs.fields(form):
         kind, described = bare(field.type)
-        here = joined(place, field.encode_name)
+        here = join_keys(place, field.encode_name)
         if get_origin(kind) is dict:
             here, kind = f"{here}.{maps}", get_args(kind)[1]
         elif get_origin(kind) is list and isinstance(get_args(kind)[0], type):
--- a/courseroute/journal/faulty.py
+++ b/courseroute/journal/faulty.py
@@ -13,6 +13,8 @@
 
 
 class FaultyDisk:
+    """Files of one folder in memory, with the interface of `disk.Disk`; `room`: maximum bytes, or None."""
+
     def __init__(self, room=None):
         self.files, self.synced, self.handles, self.next = {}, {}, {}, 3
         self.calls, self.room = 0, room
@@ -32,6 +34,7 @@
         return act(0.5 if self.calls in self.short else 1.0)
 
     def used(self):
+        """Total bytes of all files."""
         return sum(map(len, self.files.values()))
 
     def names(self):
@@ -121,9 +124,9 @@
         self.step(act)
 
     def after(self, power_cut=False):
-        """The disk as the next process finds it."""
+        """The disk as the next process finds it; after a power failure, with synced data only."""
         other = FaultyDisk(self.room)
-        kept = self.synced if power_cut else self.files
-        other.files = {name: bytearray(data) for name, data in kept.items()}
+        surviving = self.synced if power_cut else self.files
+        other.files = {name: bytearray(data) for name, data in surviving.items()}
         other.synced = {name: bytes(data) for name, data in other.files.items()}
         return other
--- a/courseroute/journal/frames.py
+++ b/courseroute/journal/frames.py
@@ -17,7 +17,7 @@
 VERSION = 1
 HEADER = struct.Struct("<8sHHQIII")
 HEAD = struct.Struct("<2scBII")
-MARK, RECORD = b"courjrnl", b"\xc0\xde"
+SEGMENT_MAGIC, RECORD = b"courjrnl", b"\xc0\xde"
 SALT_AT = 24  # offset of the salt in the header
 MAX_RECORD_BYTES = 1 << 24  # largest size of a record without its head, in bytes
 TAKEN, CALL, BACK, OWED, OVER, MEMORY = b"T", b"C", b"B", b"N", b"O", b"M"
@@ -41,13 +41,14 @@
 
 
 def header(number, relay, salt):
-    text = HEADER.pack(MARK, VERSION, 0, number, xxh32_intdigest(relay.encode()), salt, 0)[:-4]
+    """The header of segment `number` of the relay with that name."""
+    text = HEADER.pack(SEGMENT_MAGIC, VERSION, 0, number, xxh32_intdigest(relay.encode()), salt, 0)[:-4]
     return text + struct.pack("<I", xxh32_intdigest(text))
 
 
 def header_of(data, name=""):
     """The segment's number, or None if the header is invalid. Raises Newer if its version is unsupported."""
-    if len(data) < HEADER.size or data[:8] != MARK:
+    if len(data) < HEADER.size or data[:8] != SEGMENT_MAGIC:
         return None
     _, version, _, number, _, _, check = HEADER.unpack_from(data)
     if xxh32_intdigest(data[: HEADER.size - 4]) != check:
@@ -70,11 +71,13 @@
         return self.size
 
     def sealed(self, salt):
+        """The bytes of the record for a segment with that salt."""
         kind, text = self.kind, self.text
         return HEAD.pack(RECORD, kind, 0, len(text), xxh32_intdigest(text, salt ^ kind[0])) + text
 
 
 def checksum(text, kind, salt):
+    """The checksum of a record without its head."""
     return xxh32_intdigest(text, salt ^ kind[0])
 
 
@@ -82,6 +85,7 @@
 
 
 def salt_of(data):
+    """The salt in a segment's header."""
     return HEADER.unpack_from(data)[5]
 
 
@@ -91,8 +95,8 @@
         if data[at : at + 2] in (RECORD, RECORD[:1]) or at == len(data):
             raise IndexError
         return None
-    mark, kind, zero, size, check = HEAD.unpack_from(data, at)
-    if mark != RECORD or zero or size > MAX_RECORD_BYTES or kind not in KINDS:
+    magic, kind, zero, size, check = HEAD.unpack_from(data, at)
+    if magic != RECORD or zero or size > MAX_RECORD_BYTES or kind not in KINDS:
         return None
     end = at + HEAD.size + size
     if end > len(data):
@@ -135,14 +139,14 @@
     skipped, salt = 0, salt_of(data)
     while at < len(data):
         if len(data) - at < HEAD.size:
-            raise ValueError("a torn head")
-        mark, kind, zero, size, _ = HEAD.unpack_from(data, at)
-        if mark != RECORD or zero or kind not in KINDS or at + HEAD.size + size > len(data):
-            raise ValueError("no record's head")
+            raise ValueError("incomplete record head")
+        magic, kind, zero, size, _ = HEAD.unpack_from(data, at)
+        if magic != RECORD or zero or kind not in KINDS or at + HEAD.size + size > len(data):
+            raise ValueError("invalid record head")
         if kind == wanted:
             one = parse_record(data, at, salt)
             if one is None:
-                raise ValueError("a damaged record")
+                raise ValueError("damaged record")
             yield one
         skipped += 1
         if skipped % RECORDS_PER_YIELD == 0:
--- a/courseroute/journal/learned.py
+++ b/courseroute/journal/learned.py
@@ -15,33 +15,35 @@
 
 NAME, SPARE, BAD = "learned", "learned.new", "learned.bad"
 VERSION, OLDEST = 2, 1
-MOST = 1 << 20
+MAX_BYTES = 1 << 20
 
 
 class Learned:
-    def __init__(self, folder, say, most=MOST, syncs=True, disk=None):
+    """Saves and loads the learned state of one relay."""
+
+    def __init__(self, folder, say, most=MAX_BYTES, syncs=True, disk=None):
         """`most`: maximum size of the state in bytes; a larger state is not saved."""
         self.disk, self.say, self.most, self.syncs = disk or Disk(folder), say, most, syncs
-        self.kept = b"[]"
+        self.saved = b"[]"
 
-    def keep(self, told, now):
+    def keep(self, state, now):
         """Saves the state if it changed; returns whether it did. Raises OSError if the folder is not
         writable; the old file then remains."""
-        text = orjson.dumps(told)
-        if text == self.kept or len(text) > self.most:
+        text = orjson.dumps(state)
+        if text == self.saved or len(text) > self.most:
             return False
         head = {"version": VERSION, "at": now, "check": xxhash.xxh64_hexdigest(text)}
         handle = self.disk.create(SPARE)
         try:
-            view = memoryview(orjson.dumps(head) + b"\n" + text)
-            while view:
-                view = view[self.disk.write(handle, view) :]
+            unwritten = memoryview(orjson.dumps(head) + b"\n" + text)
+            while unwritten:
+                unwritten = unwritten[self.disk.write(handle, unwritten) :]
             if self.syncs:
                 self.disk.sync(handle)
         finally:
             self.disk.close(handle)
         self.disk.rename(SPARE, NAME)
-        self.kept = text
+        self.saved = text
         return True
 
     def read(self):
@@ -59,11 +61,11 @@
                 raise ValueError(f"version {head['version']}")
             if xxhash.xxh64_hexdigest(text) != head["check"]:
                 raise ValueError("its checksum is wrong")
-            told = orjson.loads(text)
-            if not isinstance(told, list):
+            state = orjson.loads(text)
+            if not isinstance(state, list):
                 raise ValueError("not a list")
-            self.kept = text
-            return told, int(head["at"])
+            self.saved = text
+            return state, int(head["at"])
         except (ValueError, KeyError, TypeError) as cause:
             self.say("learned state not read, set aside", error=str(cause)[:200])
             with contextlib.suppress(OSError):
--- a/courseroute/journal/old.py
+++ b/courseroute/journal/old.py
@@ -22,8 +22,8 @@
         yield kind, orjson.loads(text), body
 
 
-def record(kind, told, body=b""):
+def record(kind, fields, body=b""):
     """One record in the format of those versions, for tests of the conversion."""
-    text = orjson.dumps(told) + b"\n"
+    text = orjson.dumps(fields) + b"\n"
     check = zlib.crc32(body, zlib.crc32(text, zlib.crc32(kind)))
     return b"".join((HEAD.pack(len(text) + len(body), check, kind), text, body))
--- a/courseroute/journal/replay.py
+++ b/courseroute/journal/replay.py
@@ -30,6 +30,8 @@
 
 
 class Replay:
+    """Applies records in order; its maps then hold the state, by message name."""
+
     def __init__(self, most_ends=None):
         """`most_ends`: how many recently closed messages are remembered; None for all."""
         self.held, self.owed, self.ends, self.most_ends = {}, {}, OrderedDict(), most_ends
@@ -39,24 +41,24 @@
         """Called for unreadable bytes: records of all messages that are open now may be lost."""
         self.doubtful.update(self.held)
 
-    def feed(self, kind, told, body):
+    def feed(self, kind, fields, body):
         """Applies one record; kinds that do not concern messages are ignored."""
         if kind not in (TAKEN, CALL, BACK, OWED, OVER):
             return
-        name = told[0]
-        kept = self.held.get(name)
-        if kind == TAKEN and kept is None and name not in self.ends:
-            self.held[name] = Kept(told, body)
-        elif kind == CALL and kept is not None:
-            kept.attempts.setdefault(told[1], list(told[2:]))
-        elif kind == BACK and kept is not None and told[1] in kept.attempts:
-            kept.attempts[told[1]][2] = told[2]
+        name = fields[0]
+        message = self.held.get(name)
+        if kind == TAKEN and message is None and name not in self.ends:
+            self.held[name] = Kept(fields, body)
+        elif kind == CALL and message is not None:
+            message.attempts.setdefault(fields[1], list(fields[2:]))
+        elif kind == BACK and message is not None and fields[1] in message.attempts:
+            message.attempts[fields[1]][2] = fields[2]
         elif kind in (OWED, OVER):
             self.held.pop(name, None)
             self.owed.pop(name, None)
             if kind == OWED:
-                self.owed[name] = tuple(told[1:3])
-            self.ends[name] = told[1]
+                self.owed[name] = tuple(fields[1:3])
+            self.ends[name] = fields[1]
             if self.most_ends is not None and len(self.ends) > self.most_ends:
                 self.ends.popitem(last=False)
 
--- a/courseroute/journal/store.py
+++ b/courseroute/journal/store.py
@@ -81,7 +81,7 @@
         self.disk, self.most, self.relay, self.syncs, self.clock = disk, most, relay, syncs, clock
         self.make_salt, self.salt = make_salt, 0
         self.max_segment_bytes = plan.segment_size(most)
-        self.always_fits_below = most - plan.reserve(most) - plan.SECTORS   # total size in bytes
+        self.always_fits_below = most - plan.reserve(most) - plan.SECTOR_BYTES   # total size in bytes
         self.segments = {}              # number -> [size, live bytes]
         # closing_by_segment: segment -> [(segment of a closing record that lists it, bytes of that record)]
         self.entries, self.closing_by_segment = {}, {}
@@ -128,6 +128,7 @@
             self.newest = max(self.newest, number)
 
     def segment_names(self):
+        """The file names of the segments, oldest first."""
         return [name for name in self.disk.names() if name.startswith(PREFIX)]
 
     def segment_name(self, number):
@@ -150,8 +151,8 @@
         for name in self.segment_names():
             frames.header_of(self.disk.read(name, 0, 64), name)     # raises Newer before anything is removed
             self.disk.remove(name)
-        for kind, told, body in old.records(self.disk.read(old.NAME)):
-            self.write(record(kind, told, body))
+        for kind, fields, body in old.records(self.disk.read(old.NAME)):
+            self.write(record(kind, fields, body))
         if self.handle is not None:
             self.sync()
             self.disk.close(self.handle)
@@ -164,11 +165,12 @@
     # Space.
 
     def segment_table(self):
+        """The segments in the form that the compaction policy takes."""
         return [plan.Segment(number, *self.segments[number]) for number in sorted(self.segments)]
 
     def room(self, size):
         """Whether a new message of `size` bytes can be accepted."""
-        if not plan.may_take(self.live, size, self.most):
+        if not plan.may_accept(self.live, size, self.most):
             return False
         if not plan.fits(self.total_bytes, size, self.most, True):
             self.free_space(size)
@@ -189,10 +191,10 @@
     def set_segment_size(self, number, size):
         """Records the size of a segment in bytes; None if it was removed."""
         if number in self.segments:
-            self.total_bytes -= self.segments[number][0] + plan.SECTORS
+            self.total_bytes -= self.segments[number][0] + plan.SECTOR_BYTES
         if size is not None:
             self.segments.setdefault(number, [0, 0])[0] = size
-            self.total_bytes += size + plan.SECTORS
+            self.total_bytes += size + plan.SECTOR_BYTES
 
     # Writing.
 
@@ -275,18 +277,18 @@
 
     # Accounting of live bytes by segment.
 
-    def account(self, kind, told, number, size):
+    def account(self, kind, fields, number, size):
         """Accounts for a record in segment `number`, and for the earlier records of its message that it
         supersedes."""
         if kind == MEMORY:
             return
-        name = told[0]
+        name = fields[0]
         entry = self.entries.get(name)
         if kind == OVER:
             if entry is not None:
                 self.subtract_live(entry)
                 del self.entries[name]
-            existing = [seg for seg in told[2:] if seg != number and seg in self.segments]
+            existing = [seg for seg in fields[2:] if seg != number and seg in self.segments]
             if existing:
                 self.segments[number][1] += size
                 self.closing_by_segment.setdefault(max(existing), []).append((number, size))
@@ -324,6 +326,7 @@
         return record(OVER, [name, state, *self.existing_segments(entry)])
 
     def existing_segments(self, entry):
+        """Numbers of the segments that hold the message and still exist; `entry` may be None."""
         return [seg for seg in entry.holding_segments if seg in self.segments] if entry else []
 
     # Compaction.
@@ -333,7 +336,7 @@
         bytes has changed enough since the last search that found no victim."""
         if self.compaction is not None:
             return True
-        if not plan.pays(self.total_bytes, self.most):
+        if not plan.may_pay_off(self.total_bytes, self.most):
             return False
         dead = self.total_bytes - sum([live for _, live in self.segments.values()])
         if abs(dead - self.dead_bytes_checked) < self.max_segment_bytes // 8:
@@ -350,7 +353,7 @@
             if number is None:
                 return False
             self.compaction = self.compact(number)
-        end = self.clock() + plan.SLICE
+        end = self.clock() + plan.SLICE_NS
         try:
             for _ in self.compaction:
                 if self.clock() >= end:
@@ -445,5 +448,6 @@
         return [self.disk.duplicate(handle) for handle in pending], closed
 
     def close(self):
+        """Closes all files without syncing them."""
         self.close_segment()
         self.release(self.unsynced_handles[:])
--- a/courseroute/journal/syncer.py
+++ b/courseroute/journal/syncer.py
@@ -21,6 +21,7 @@
             await self.progress.wait()
 
     async def serve(self):
+        """Syncs as the mode asks until cancelled; returns at once in mode "off"."""
         while self.mode != "off":
             if self.mode == "each":
                 await self.requested.wait()
@@ -52,6 +53,7 @@
                 journal.disk.close(handle)
 
     def sync_all(self, handles):
+        """Runs in a worker thread."""
         for handle in handles:
             self.journal.disk.sync(handle)
         self.journal.disk.sync_folder()
--- a/courseroute/run/clock.py
+++ b/courseroute/run/clock.py
@@ -2,7 +2,7 @@
 
 Timestamps in the journal are readings of this clock, in nanoseconds close to Unix time. They come from
 the monotonic clock, which no step changes and which runs on from one process to the next while the machine
-stays up, plus an offset that the folder keeps together with the boot id. A new offset is taken from
+stays up, plus an offset that the folder stores together with the boot id. A new offset is taken from
 the wall clock where the folder has none, or the machine was rebooted; the time that has passed since is then
 unknown.
 """
@@ -19,7 +19,7 @@
 BOOT_ID = Path("/proc/sys/kernel/random/boot_id")
 
 
-class Kept(msgspec.Struct):
+class SavedOffset(msgspec.Struct):
     """The file's content: the offset to the monotonic clock of that boot, which stood at `monotonic_ns`."""
 
     boot: str
@@ -34,6 +34,7 @@
         self.offset_ns, self.continues = offset_ns, continues
 
     def now(self):
+        """The current reading in nanoseconds."""
         return time.monotonic_ns() + self.offset_ns
 
 
@@ -41,12 +42,12 @@
     """The clock saved in the folder, or a new one if none was saved since this boot. If the folder is not
     writable, the next process starts a new clock; nothing else is affected."""
     boot = boot_id() if boot is None else boot
-    kept = read(disk)
-    if kept and boot and kept.boot == boot and kept.monotonic_ns <= time.monotonic_ns():
-        return Clock(kept.offset_ns, continues=True)
+    saved = read(disk)
+    if saved and boot and saved.boot == boot and saved.monotonic_ns <= time.monotonic_ns():
+        return Clock(saved.offset_ns, continues=True)
     offset_ns = time.time_ns() - time.monotonic_ns()
     with contextlib.suppress(OSError):
-        write(disk, Kept(boot, offset_ns, time.monotonic_ns()), syncs)
+        write(disk, SavedOffset(boot, offset_ns, time.monotonic_ns()), syncs)
     return Clock(offset_ns, continues=False)
 
 
@@ -64,19 +65,19 @@
         check, _, data = disk.read(NAME).partition(b"\n")
         if check.decode("latin-1") != xxhash.xxh64_hexdigest(data):
             return None
-        return msgspec.json.decode(data, type=Kept)
+        return msgspec.json.decode(data, type=SavedOffset)
     except (OSError, msgspec.DecodeError):
         return None
 
 
-def write(disk, kept, syncs):
+def write(disk, saved, syncs):
     """Replaces the file atomically through a temporary file."""
-    data = msgspec.json.encode(kept)
-    left = memoryview(xxhash.xxh64_hexdigest(data).encode() + b"\n" + data)
+    data = msgspec.json.encode(saved)
+    unwritten = memoryview(xxhash.xxh64_hexdigest(data).encode() + b"\n" + data)
     handle = disk.create(SPARE)
     try:
-        while left:
-            left = left[disk.write(handle, left) :]
+        while unwritten:
+            unwritten = unwritten[disk.write(handle, unwritten) :]
         if syncs:
             disk.sync(handle)
     finally:
--- a/courseroute/run/config.py
+++ b/courseroute/run/config.py
@@ -36,6 +36,7 @@
 
 
 def read_platform(path, environ):
+    """The settings from the platform's JSON file; names and addresses missing there come from `environ`."""
     try:
         with open(path, "rb") as file:
             told = orjson.loads(file.read())
--- a/courseroute/run/logbook.py
+++ b/courseroute/run/logbook.py
@@ -35,12 +35,15 @@
 
 
 class Logbook:
+    """The log of this process: its level, its format and the fields that every line has."""
+
     def __init__(self):
-        self.least, self.context, self.dropped, self.render = LEVELS["info"], {}, 0, render_json
+        self.min_level, self.context, self.dropped, self.render = LEVELS["info"], {}, 0, render_json
         self.structured = False  # whether structlog renders both forms
 
     def set(self, level="info", form="json", **context):
-        self.least = LEVELS[level]
+        """Sets the lowest level written and the format; adds `context` to the fields of every line."""
+        self.min_level = LEVELS[level]
         self.context |= context
         if form == "console" or self.structured:
             from courseroute.run.console import renderer
@@ -49,11 +52,12 @@
         else:
             self.render = render_json
 
-    def say(self, event, **figures):
+    def say(self, event, **fields):
+        """Writes one event with its fields, or counts it as dropped if standard output is not writable."""
         level = level_of(event)
-        if LEVELS[level] < self.least:
+        if LEVELS[level] < self.min_level:
             return
-        line = {"at": time.time_ns() // 1_000_000, "event": event, "level": level, **self.context, **figures}
+        line = {"at": time.time_ns() // 1_000_000, "event": event, "level": level, **self.context, **fields}
         if self.dropped:
             line["dropped_before"] = self.dropped
         if POLL.poll(0):
@@ -67,12 +71,14 @@
 
 
 def level_of(event):
+    """The level of an event, which follows from its text."""
     if event.startswith(ERRORS):
         return "error"
     return "warning" if event.startswith(WARNINGS) else "info"
 
 
 def render_json(line):
+    """One line of JSON as bytes."""
     return orjson.dumps(line, default=str) + b"\n"
 
 
--- a/courseroute/run/relay.py
+++ b/courseroute/run/relay.py
@@ -43,15 +43,19 @@
 
 
 class Relay:
+    """One relay in this process; `told`: its settings as `config.read` returns them."""
+
     def __init__(self, told):
         self.told, self.phase = told, Phase.STARTING
         self.alarm_at, self.alarm_set, self.left = None, trio.Event(), trio.Event()
 
-    def enter(self, phase, **figures):
+    def enter(self, phase, **fields):
+        """Changes the phase and logs it."""
         self.phase = phase
-        say("phase", phase=phase.value, **figures)
+        say("phase", phase=phase.value, **fields)
 
     async def run(self):
+        """Runs the relay from startup to the end of shutdown."""
         told, house, terms = self.told, HOUSE, dict(self.told["terms"])
         kept_list = int(told["disk"] * house["kept_list"]) if told["keeps_list"] else 0
         syncs = told["sync"] != "off"
@@ -112,6 +116,7 @@
         self.enter(Phase.ENDED, held=len(desk.held), owed=len(desk.owed))
 
     def load_initial_endpoints(self, watch):
+        """Loads the endpoint list from the cache, or from the configuration where that supplies it."""
         known = self.roster.read() if self.roster else self.told["known"]
         if self.roster:
             self.desk.discovery.keep = self.roster.keep
@@ -136,6 +141,7 @@
         listener.close()
 
     async def report(self):
+        """Logs the metrics at intervals."""
         while True:
             await trio.sleep(REPORT_EVERY_S)
             self.log_figures()
@@ -145,6 +151,7 @@
             say("figures", held=len(self.desk.held), owed=len(self.desk.owed), **totals)
 
     async def handle_signals(self, task_status):
+        """SIGTERM and SIGINT start the shutdown, SIGHUP reloads the configuration."""
         with trio.open_signal_receiver(signal.SIGTERM, signal.SIGINT, signal.SIGHUP) as signals:
             task_status.started()
             if startup_signals.hangup_came:
@@ -178,11 +185,13 @@
             self.desk.discovery.move(place)
 
     def set_alarm(self, delay):
+        """Wakes the dispatcher in `delay` nanoseconds, or earlier if an earlier wake-up is set."""
         at = self.clock() + delay
         self.alarm_at = min(at, self.alarm_at or at)
         self.alarm_set.set()
 
     async def alarms(self):
+        """Wakes the dispatcher at the times that `set_alarm` sets."""
         while True:
             self.alarm_set = trio.Event()
             left = self.alarm_at - self.clock() if self.alarm_at else HOUSE["idle"]
@@ -200,6 +209,7 @@
             await trio.sleep(HOUSE["between_slices" if busy else "notice_pause"] / 1e9)
 
     async def sweep(self, pool):
+        """Periodic maintenance: closes stale connections and retries writes that failed."""
         while True:
             due = time.monotonic_ns() + HOUSE["sweep"]
             await trio.sleep(HOUSE["sweep"] / 1e9)
@@ -212,6 +222,7 @@
 
 
 def main(told):
+    """Runs a relay with these settings; returns the exit code of the process."""
     set_log(**told["log"], relay=told["name"])
     code = 0
     try:
--- a/courseroute/run/setup.py
+++ b/courseroute/run/setup.py
@@ -28,6 +28,8 @@
 
 
 class Log(Form, kw_only=True):
+    """The event log of the relay."""
+
     level: Literal["debug", "info", "warning", "error"] = "info"
     form: Literal["json", "console"] = "json"
 
@@ -82,6 +84,8 @@
 
 
 class LaneTerms(Form, kw_only=True):
+    """The settings of one lane."""
+
     target: Span | None = None
     deadline: Span | None = None
     effect: Literal["retriable", "keyed", "non-retriable"] = "non-retriable"
@@ -97,6 +101,8 @@
 
 
 class KindTerms(Form, kw_only=True):
+    """The settings of one kind of host."""
+
     apart: bool = False
     per_call: Count = 1
 
--- a/courseroute/run/standstill.py
+++ b/courseroute/run/standstill.py
@@ -29,6 +29,7 @@
         self.seen_at = now
 
     def is_recent(self, now):
+        """Whether requests that arrived during the last stall may still be unread at `now`."""
         return self.ended is not None and now - self.ended <= READ_WITHIN_NS
 
     def unread_for(self):
