--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -1,4 +1,4 @@
-"""The clock that outlasts the process: which lives share one, and what a damaged or foreign file does."""
+"""The clock that continues across restarts: which processes share one, and the effect of a damaged file."""
 
 import errno
 import time
@@ -13,14 +13,14 @@
 
 @pytest.fixture
 def wall_clock(monkeypatch):
-    """`wall_clock(ns)` steps it; the monotonic clock runs on."""
+    """`wall_clock(ns)` steps the wall clock; the monotonic clock is unaffected."""
     real, step = time.time_ns, [0]
     monkeypatch.setattr(time, "time_ns", lambda: real() + step[0])
     return lambda ns: step.__setitem__(0, step[0] + ns)
 
 
 @pytest.mark.parametrize("step_ns", [0, HOUR_NS, -HOUR_NS])
-def test_readings_of_two_lives_are_as_far_apart_as_real_time(wall_clock, step_ns):
+def test_the_clock_continues_after_a_restart_despite_steps_of_the_wall_clock(wall_clock, step_ns):
     disk = FaultyDisk()
     first = open_clock(disk, "boot-1")
     before = first.now()
@@ -31,14 +31,14 @@
 
 
 @pytest.mark.parametrize("boot", ["boot-2", ""])
-def test_a_machine_started_anew_has_another_clock(boot):
+def test_a_new_clock_starts_after_a_reboot(boot):
     disk = FaultyDisk()
     open_clock(disk, "boot-1")
     assert not open_clock(disk, boot).continues and open_clock(disk, boot).continues == bool(boot)
 
 
 @pytest.mark.parametrize(
-    "spoil",
+    "damage",
     [
         lambda data: data[:-1],
         lambda data: b"",
@@ -46,15 +46,15 @@
         lambda data: b"\xff" + data,
     ],
 )
-def test_a_damaged_file_counts_as_none(spoil):
+def test_a_damaged_file_is_ignored(damage):
     disk = FaultyDisk()
     open_clock(disk, "boot-1")
-    disk.files[NAME] = bytearray(spoil(bytes(disk.files[NAME])))
+    disk.files[NAME] = bytearray(damage(bytes(disk.files[NAME])))
     assert not open_clock(disk, "boot-1").continues
     assert open_clock(disk, "boot-1").continues
 
 
-def test_a_file_of_a_monotonic_clock_that_has_gone_back_counts_as_none(monkeypatch):
+def test_a_file_from_a_later_monotonic_time_is_ignored(monkeypatch):
     disk = FaultyDisk()
     open_clock(disk, "boot-1")
     monkeypatch.setattr(time, "monotonic_ns", lambda: 5)
@@ -63,7 +63,7 @@
 
 @pytest.mark.parametrize("call", range(1, 5))
 @pytest.mark.parametrize("code", [errno.ENOSPC, errno.EIO])
-def test_a_folder_that_cannot_be_written_costs_the_clock_of_the_next_life_only(call, code):
+def test_a_failed_write_affects_only_the_clock_of_the_next_process(call, code):
     disk = FaultyDisk()
     disk.fails = {call: code}
     assert open_clock(disk, "boot-1").now() > 0
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,4 +1,5 @@
-"""The configuration: both forms make one checked object, and every mistake is told with its place."""
+"""Configuration files: both formats give the same validated settings, and every mistake is reported with its
+location. The event log: levels, and a reader that stops reading."""
 
 import os
 import subprocess
@@ -15,7 +16,7 @@
 from courseroute.run.logbook import level_of
 from courseroute.run.setup import LaneTerms, Setup
 
-WHOLE = {
+VALID = {
     "listen": "127.0.0.1:8080",
     "directory": "127.0.0.1:8500",
     "state": "/s",
@@ -24,7 +25,8 @@
 
 
 def changed(**parts):
-    return WHOLE | parts
+    """A valid configuration with some of its sections replaced."""
+    return VALID | parts
 
 
 @pytest.mark.parametrize(
@@ -54,7 +56,7 @@
         (changed(kinds={"k": {"per_call": 0}}, customers={"c": -2}), ["kinds.k.per_call", "customers.c"]),
     ],
 )
-def test_every_mistake_is_told_with_its_place_what_was_found_and_what_is_allowed(told, places):
+def test_every_mistake_is_reported_with_location_value_and_allowed_values(told, places):
     with pytest.raises(Bad) as caught:
         made(told, Setup, "f.toml")
     assert sorted(mistake.place for mistake in caught.value.mistakes) == sorted(places)
@@ -64,7 +66,7 @@
 
 
 @pytest.mark.parametrize(
-    "name, text, said",
+    "name, text, message",
     [
         ("none.toml", None, "No such file"),
         ("a.toml", "a = [", "TOML"),
@@ -77,17 +79,17 @@
         (None, None, "ROUTER_CONFIG"),
     ],
 )
-def test_what_cannot_be_read_is_told_in_lines(tmp_path, name, text, said):
+def test_an_unreadable_file_is_reported(tmp_path, name, text, message):
     environ = {"ROUTER_STATE": "/s"}
     if name:
         environ["ROUTER_CONFIG"] = str(tmp_path / name)
     if text is not None:
         (tmp_path / name).write_bytes(text if isinstance(text, bytes) else text.encode())
-    with pytest.raises(Bad, match=said):
+    with pytest.raises(Bad, match=message):
         config.read(environ)
 
 
-def test_both_forms_make_the_same_terms(tmp_path):
+def test_both_formats_give_the_same_settings(tmp_path):
     toml = tmp_path / "c.toml"
     toml.write_bytes(
         msgspec.toml.encode(
@@ -129,13 +131,14 @@
             }
         )
     )
-    one = config.read({"ROUTER_CONFIG": str(toml)})
-    two = config.read({"ROUTER_CONFIG": str(json), "ROUTER_STATE": "/s", "ROUTER_NAME": "relay"})
-    for told in (one, two):  # the platform's settings always say these
-        told["terms"].pop("listed_rates"), told["terms"].pop("rough")
-    assert one.pop("keeps_list") and not two.pop("keeps_list")  # the platform hands each start the list
-    assert one == two
-    assert one["terms"]["lanes"]["order"] == {
+    from_toml = config.read({"ROUTER_CONFIG": str(toml)})
+    from_json = config.read({"ROUTER_CONFIG": str(json), "ROUTER_STATE": "/s", "ROUTER_NAME": "relay"})
+    for loaded in (from_toml, from_json):  # always present in the platform's settings
+        loaded["terms"].pop("listed_rates"), loaded["terms"].pop("rough")
+    # The platform supplies the endpoint list at each start.
+    assert from_toml.pop("keeps_list") and not from_json.pop("keeps_list")
+    assert from_toml == from_json
+    assert from_toml["terms"]["lanes"]["order"] == {
         "effect": "keyed",
         "window": 5 * 10**9,
         "target": 15 * 10**8,
@@ -144,12 +147,12 @@
 
 
 @given(st.integers(0, 10**17))
-def test_spans_are_read_as_written(ns):
+def test_a_duration_is_parsed_as_formatted(ns):
     assert span(span_text(ns)) == ns
 
 
 @pytest.mark.parametrize("text, ns", [("1.5s", 15 * 10**8), ("0.000001ms", 1), ("2h", 72 * 10**11)])
-def test_spans_hold_whole_nanoseconds(text, ns):
+def test_durations_are_whole_nanoseconds(text, ns):
     assert span(text) == ns
 
 
@@ -163,29 +166,29 @@
         max_leaves=12,
     )
 )
-def test_no_file_ends_in_a_trace(told):
+def test_no_input_raises_another_exception(told):
     try:
         assert made(told, Setup).lanes
     except Bad as cause:
         assert cause.mistakes
 
 
-def test_the_configuration_page_and_the_schema_name_the_same_keys():
-    """Each key of the form stands in a row of docs/configuration.md with its default, and no other does."""
-    page = (checked_root() / "docs/configuration.md").read_text()
+def test_the_configuration_page_and_the_schema_have_the_same_keys():
+    """docs/configuration.md has a row with the default for each key of the schema, and no other rows."""
+    page = (project_root() / "docs/configuration.md").read_text()
     rows = [
         [cell.strip().strip("`") for cell in line.split("|")[1:-1]]
         for line in page.splitlines()
         if line.startswith("| `")
     ]
-    told = {
+    expected = {
         place: "" if default in (None, "", {}) else str(default).lower()
         for place, _, default in checked.keys(Setup)
     }
-    assert {row[0]: row[2].replace("none", "") for row in rows} == told
+    assert {row[0]: row[2].replace("none", "") for row in rows} == expected
 
 
-def checked_root():
+def project_root():
     from pathlib import Path
 
     return Path(checked.__file__).parent.parent
@@ -207,24 +210,24 @@
 """
 
 
-@pytest.mark.parametrize("form, mark", [("json", b'"dropped_before":5'), ("console", b"dropped_before")])
-def test_a_reader_that_stands_still_stops_nothing_and_is_told_what_it_missed(form, mark):
+@pytest.mark.parametrize("form, expected", [("json", b'"dropped_before":5'), ("console", b"dropped_before")])
+def test_a_reader_that_stops_blocks_nothing_and_later_gets_the_number_of_dropped_lines(form, expected):
     with subprocess.Popen(
         [sys.executable, "-c", CHILD, form],
-        cwd=checked_root(),
+        cwd=project_root(),
         stdin=subprocess.PIPE,
         stdout=subprocess.PIPE,
         stderr=subprocess.PIPE,
     ) as child:
-        count = int(child.stderr.readline())  # it came here though nobody read
+        count = int(child.stderr.readline())  # the child output here although its output was not read
         os.set_blocking(child.stdout.fileno(), False)
-        got = child.stdout.read()
+        output = child.stdout.read()
         child.stdin.write(b"\n")
         child.stdin.close()
         os.set_blocking(child.stdout.fileno(), True)
-        got += child.stdout.read()
-    lines = got.splitlines()
-    assert len(lines) == count and mark in lines[-1] and b"warning" in lines[-1] and b"n0" in lines[0]
+        output += child.stdout.read()
+    lines = output.splitlines()
+    assert len(lines) == count and expected in lines[-1] and b"warning" in lines[-1] and b"n0" in lines[0]
 
 
 @pytest.mark.parametrize(
@@ -240,5 +243,5 @@
         ("configuration not read, the old one stays", "warning"),
     ],
 )
-def test_each_event_has_its_level(event, level):
+def test_level_of_each_event(event, level):
     assert level_of(event) == level
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -1,4 +1,4 @@
-"""The journal in segments: cut off, full, damaged, old; what was learned; its tools."""
+"""The segmented journal: crashes, full disks, damage, earlier versions; learned state; the journal tools."""
 import contextlib
 import errno
 import fcntl
@@ -21,45 +21,46 @@
 from courseroute.journal.store import DAMAGE, Full, Journal
 from courseroute.journal.syncer import Syncer
 
-K = 1000
-TEN = [record(TAKEN, [f"m{i}", "7"], b"\n{body}\xc0\xde" * (i + 1)) for i in range(10)]
+KB = 1000
+RECORDS = [record(TAKEN, [f"m{i}", "7"], b"\n{body}\xc0\xde" * (i + 1)) for i in range(10)]
 SALT = 77
-SEGMENT = frames.header(1, "n0", SALT) + b"".join(one.sealed(SALT) for one in TEN)
+SEGMENT = frames.header(1, "n0", SALT) + b"".join(one.sealed(SALT) for one in RECORDS)
 
 
-def told(data):
+def scanned(data):
+    """(kind, message name) of each record; (None, (size, torn)) of each unreadable range."""
     return [(one.kind, one.told[0] if one.kind else (one.end - one.at, one.torn))
             for one in frames.scan(data)]
 
 
-# The format.
+# Record format.
 
 
-def test_records_are_read_as_they_were_written():
+def test_records_are_read_back_as_written():
     assert frames.header_of(SEGMENT) == 1
     assert [one.body for one in frames.scan(SEGMENT)] == [b"\n{body}\xc0\xde" * (i + 1) for i in range(10)]
 
 
 @settings(max_examples=200)
 @given(st.integers(frames.HEADER.size, len(SEGMENT) - 1), st.integers(1, 255))
-def test_a_changed_byte_costs_its_own_record_and_is_seen(at, change):
+def test_a_changed_byte_is_detected_and_loses_only_its_record(at, change):
     data = bytearray(SEGMENT)
     data[at] ^= change
-    good = [name for kind, name in told(bytes(data)) if kind]
-    bad = [one for kind, one in told(bytes(data)) if not kind]
+    good = [name for kind, name in scanned(bytes(data)) if kind]
+    bad = [one for kind, one in scanned(bytes(data)) if not kind]
     assert len(good) == 9 and len(bad) == 1 and set(good) < {f"m{i}" for i in range(10)}
 
 
 @given(st.integers(frames.HEADER.size, len(SEGMENT)))
-def test_a_cut_costs_what_is_behind_it_and_counts_as_torn(cut):
-    found = told(SEGMENT[:cut])
+def test_truncation_loses_only_later_records_and_is_reported_as_torn(cut):
+    found = scanned(SEGMENT[:cut])
     names = [name for kind, name in found if kind]
     assert names == [f"m{i}" for i in range(len(names))]
     assert [one[1] for kind, one in found if not kind] in ([], [True])
 
 
 @given(st.integers(frames.HEADER.size, len(SEGMENT) - 1), st.booleans())
-def test_skimming_finds_one_kind_or_sees_that_the_segment_is_not_whole(at, cut):
+def test_skim_finds_records_of_one_kind_or_detects_an_incomplete_segment(at, cut):
     ends = b"".join(record(OVER, [f"e{i}", "over"]).sealed(SALT) for i in range(3))
     whole = SEGMENT + ends
     assert [one.told[0] for one in frames.skim(whole, OVER) if one] == ["e0", "e1", "e2"]
@@ -72,37 +73,38 @@
 
 
 @given(st.binary(max_size=300))
-def test_noise_is_no_record(noise):
-    assert not any(kind for kind, _ in told(frames.header(1, "n0", SALT) + noise))
+def test_random_bytes_contain_no_record(noise):
+    assert not any(kind for kind, _ in scanned(frames.header(1, "n0", SALT) + noise))
 
 
 @pytest.mark.parametrize("change, number", [
     (lambda head: head, 1), (lambda head: head[:20], None), (lambda head: b"x" + head[1:], None),
     (lambda head: head[:12] + b"\7" + head[13:], None)])
-def test_a_header_is_known_or_not(change, number):
+def test_header_validation(change, number):
     assert frames.header_of(change(frames.header(1, "n0", SALT))) == number
 
 
-# The plan.
+# Compaction policy.
 
 
 @pytest.mark.parametrize("sizes, most, hurry, number", [
-    ([(90, 0), (90, 90)], 100 * K, False, None),        # little is used: nothing is done
-    ([(3 * K, 0), (3 * K, 3 * K)], 10 * K, False, 0), ([(3 * K, 3 * K), (3 * K, 0)], 10 * K, False, None),
-    ([(3 * K, 2 * K), (3 * K, 1 * K), (2 * K, 0)], 12 * K, False, 1),
-    ([(30 * K, 20 * K), (30 * K, 15 * K), (9 * K, 0)], 100 * K, False, 1),
-    ([(30 * K, 29 * K), (9 * K, 0)], 100 * K, False, None),     # not short, and little would be freed
-    ([(30 * K, 29 * K), (9 * K, 0)], 100 * K, True, 0),
-    ([(90 * K, 80 * K), (9 * K, 0)], 100 * K, True, None),      # no room for the copy
+    ([(90, 0), (90, 90)], 100 * KB, False, None),        # little is used: no compaction
+    ([(3 * KB, 0), (3 * KB, 3 * KB)], 10 * KB, False, 0),
+    ([(3 * KB, 3 * KB), (3 * KB, 0)], 10 * KB, False, None),
+    ([(3 * KB, 2 * KB), (3 * KB, 1 * KB), (2 * KB, 0)], 12 * KB, False, 1),
+    ([(30 * KB, 20 * KB), (30 * KB, 15 * KB), (9 * KB, 0)], 100 * KB, False, 1),
+    ([(30 * KB, 29 * KB), (9 * KB, 0)], 100 * KB, False, None),     # enough space, and little to be freed
+    ([(30 * KB, 29 * KB), (9 * KB, 0)], 100 * KB, True, 0),
+    ([(90 * KB, 80 * KB), (9 * KB, 0)], 100 * KB, True, None),      # no room for the copy
 ])
-def test_which_segment_is_compacted_next(sizes, most, hurry, number):
+def test_choice_of_the_next_segment_to_compact(sizes, most, hurry, number):
     segments = [Segment(i, size, live) for i, (size, live) in enumerate(sizes)]
     assert victim(segments, most, hurry) == number
 
 
-@given(st.lists(st.tuples(st.integers(40, 90 * K), st.floats(0, 1)), min_size=1, max_size=30),
-       st.integers(100 * K, 3000 * K), st.booleans())
-def test_a_victim_is_closed_its_copy_fits_and_it_frees_something(sizes, most, hurry):
+@given(st.lists(st.tuples(st.integers(40, 90 * KB), st.floats(0, 1)), min_size=1, max_size=30),
+       st.integers(100 * KB, 3000 * KB), st.booleans())
+def test_the_chosen_segment_is_closed_its_copy_fits_and_space_is_freed(sizes, most, hurry):
     segments = [Segment(i, size, int(size * share)) for i, (size, share) in enumerate(sizes)]
     number = victim(segments, most, hurry)
     if number is not None:
@@ -110,44 +112,44 @@
         assert plan.used(segments) + segments[number].live <= most
 
 
-# Cut off anywhere.
+# Crashes at any point.
 
 
-def test_every_call_of_a_script_may_be_the_last_one():
+def test_a_crash_at_any_disk_call_loses_no_message():
     assert torture.crash_at_every_call(3, 90) > 200
 
 
-def test_random_lives_with_full_and_failing_disks_lose_nothing():
+def test_crashes_with_full_and_failing_disks_lose_no_message():
     for seed in range(1000, 1060):
         torture.crash_at_random_call(seed, 250)
 
 
-@pytest.mark.parametrize("name, wrong", [
+@pytest.mark.parametrize("name, faulty", [
     # closing records do not outlast the message's older segments
     ("existing_segments", lambda self, entry: []),
     ("copy_records", lambda self, parts: None),     # compaction does not copy live records
     ("undo_write", lambda self, size: None),        # incomplete writes stay in the file
 ])
-def test_the_torture_sees_a_journal_that_is_wrong(monkeypatch, name, wrong):
-    monkeypatch.setattr(Journal, name, wrong)
+def test_the_crash_tests_detect_a_faulty_journal(monkeypatch, name, faulty):
+    monkeypatch.setattr(Journal, name, faulty)
     with pytest.raises((AssertionError, KeyError)):
         torture.crash_at_every_call(3, 70)
         for seed in range(1000, 1060):
             torture.crash_at_random_call(seed, 250)
 
 
-def test_a_power_cut_costs_nothing_that_was_synced():
+def test_a_power_failure_loses_no_synced_record():
     operations = [operation for operation in torture.random_script(5, 120) if operation[0] != "acknowledge"]
-    whole = FaultyDisk()
-    torture.run_script(operations, whole, torture.Model())
-    for at in range(3, whole.calls, 3):
+    uncut = FaultyDisk()
+    torture.run_script(operations, uncut, torture.Model())
+    for at in range(3, uncut.calls, 3):
         disk, model = FaultyDisk(), torture.Model()
         disk.crash_at = at
         desk = torture.start_tracker(disk, syncs=True)
         try:
             for operation in operations:
                 model.apply(desk, *operation)
-                desk.log.sync()         # as with `each`
+                desk.log.sync()         # as in sync mode "each"
         except Crash:
             pass
         model.check(torture.start_tracker(disk.after(power_cut=True)))
@@ -157,25 +159,25 @@
 
 
 def filled(most, size):
-    """A journal filled with messages until there is no room; their names."""
+    """(a journal filled with messages until no more fit, the names of the messages)."""
     journal = Journal(FaultyDisk(most), most, "n0")
     list(journal.read())
     journal.refresh, journal.remembered = (lambda name: []), (lambda name: False)
     names = []
     while journal.room(size):
-        made = record(TAKEN, [f"m{len(names)}"], b"x" * (size - 60))
-        journal.write(made)
-        journal.live += len(made)
+        accepted = record(TAKEN, [f"m{len(names)}"], b"x" * (size - 60))
+        journal.write(accepted)
+        journal.live += len(accepted)
         names.append(f"m{len(names)}")
     return journal, names
 
 
 @pytest.mark.parametrize("most", [1_000_000, 3_000_000, 60_000_000])
 @pytest.mark.parametrize("size", [300, 60_000])
-def test_live_messages_may_fill_three_quarters_and_all_can_still_end(most, size):
+def test_live_messages_fill_three_quarters_and_all_can_still_be_closed(most, size):
     journal, names = filled(most, size)
     assert journal.live >= 0.75 * most - size and journal.disk.used() <= most
-    for name in names:      # each end is written though nothing new would fit
+    for name in names:      # each closing record is written although no new message fits
         journal.write(journal.over(name, "delivered"))
         journal.live -= size
         journal.step()
@@ -186,31 +188,32 @@
 
 
 @pytest.mark.parametrize("code", [errno.ENOSPC, errno.EIO])
-def test_a_call_that_fails_leaves_nothing_torn_and_room_is_seen_again(code):
+def test_a_failed_write_leaves_no_partial_record_and_later_writes_succeed(code):
     for at in range(1, 5):
         disk = FaultyDisk()
-        journal = Journal(disk, 100 * K, "n0")
+        journal = Journal(disk, 100 * KB, "n0")
         list(journal.read())
         disk.fails = {at: code}
-        wrote = []
-        for one in TEN:
+        written = []
+        for one in RECORDS:
             try:
                 journal.write(one)
-                wrote.append(one.told[0])
+                written.append(one.told[0])
             except Full:
                 pass
-        assert len(wrote) == 9
-        again = Journal(disk.after(), 100 * K)
-        assert [fields[0] for _, fields, _ in again.read()] == wrote and not again.losses
+        assert len(written) == 9
+        again = Journal(disk.after(), 100 * KB)
+        assert [fields[0] for _, fields, _ in again.read()] == written and not again.losses
 
 
-# Guards against a call that left being forgotten by the next life, so that it is made a second time.
+# Guards against a sent attempt being unknown after a restart, so that it would be sent a second time.
+# It comes about when the record of the attempt before it could not be written.
 @pytest.mark.parametrize("code", [errno.ENOSPC, errno.EIO])
-def test_a_call_that_left_behind_one_that_could_not_be_written_is_known_to_the_next_life(code):
+def test_an_attempt_sent_after_an_unwritten_one_is_known_after_a_restart(code):
     disk, model = FaultyDisk(), torture.Model()
     desk = torture.start_tracker(disk)
     model.apply(desk, "accept", "m", 200)
-    disk.fails = {disk.calls + n: code for n in (1, 2)}     # the record, and its taking back
+    disk.fails = {disk.calls + n: code for n in (1, 2)}     # the write, and the truncation that undoes it
     model.apply(desk, "send", "m", 200)
     disk.fails = {}
     model.apply(desk, "send", "m", 200)
@@ -220,8 +223,9 @@
     assert again.held["m"].legs[1][0] == "h" and again.dispatcher.taken["m"][1][2] is None
 
 
-# Guards against a window counted from a later call than the first one, whose record is in damaged bytes.
-def test_a_call_whose_record_may_be_damaged_may_have_run_nobody_knows_when():
+# Guards against an idempotency window that is counted from a later attempt than the first one, because the
+# record of the first is in damaged bytes.
+def test_an_attempt_whose_record_may_be_damaged_may_have_run_at_an_unknown_time():
     replay = Replay()
     replay.feed(TAKEN, ["m", "7", "a", 10 ** 10, "k", "", "", False, 5], b"")
     replay.damage()
@@ -232,7 +236,7 @@
 # Damage, foreign files, other versions.
 
 
-def test_damage_is_counted_by_place_and_what_it_may_hide_counts_as_run(tmp_path):
+def test_damage_is_reported_by_range_and_attempts_it_may_hide_count_as_run(tmp_path):
     desk = torture.start_tracker(Disk(tmp_path))
     model = torture.Model()
     for name in ("a", "b", "c"):
@@ -245,35 +249,35 @@
     (tmp_path / "notes.txt").write_text("foreign")
     again = torture.start_tracker(Disk(tmp_path))
     assert list(again.held) == ["a", "c"] and again.dispatcher.taken["a"] == [("", 0, None)]
-    assert again.dispatcher.taken["c"] == []        # taken on behind the damage
+    assert again.dispatcher.taken["c"] == []        # accepted after the damaged range
     assert [event for event, _ in again.events] == ["journal damaged"] * 2
     assert (tmp_path / "bad-seg-0000000000").exists()
     assert [(loss.segment, loss.size > 20) for loss in again.log.losses] == [(0, False), (1, True)]
 
 
-def test_no_body_can_hold_what_is_taken_for_a_record_behind_a_damaged_one():
-    """A client that knows the format writes an end of another's message into its own."""
+def test_a_body_cannot_contain_a_valid_record_behind_a_damaged_one():
+    """A client that knows the format puts the closing record of another client's message into a body."""
     disk = FaultyDisk()
     desk = torture.start_tracker(disk)
     forged = b"".join(record(OVER, ["b", "over"]).sealed(salt) for salt in (0, 1, SALT))
-    told = {"name": "a", "dst": "7", "lane": "a", "left": 10 ** 10, "mark": "", "customer": "", "key": "",
+    message = {"name": "a", "dst": "7", "lane": "a", "left": 10 ** 10, "mark": "", "customer": "", "key": "",
             "again": False}
-    assert desk.take(told | {"name": "b", "body": b"x"}, False)[0] == 202
-    assert desk.take(told | {"body": forged}, False)[0] == 202
+    assert desk.take(message | {"name": "b", "body": b"x"}, False)[0] == 202
+    assert desk.take(message | {"body": forged}, False)[0] == 202
     data = disk.files["seg-0000000001"]
     data[data.index(b'["a"') + 2] ^= 1
     again = torture.start_tracker(disk.after())
     assert list(again.held) == ["b"] and not again.ends and len(again.log.losses) == 1
 
 
-def test_a_segment_that_is_left_unsynced_is_synced_before_anyone_is_answered():
+def test_a_closed_unsynced_segment_is_synced_before_any_response():
     disk = FaultyDisk()
-    journal = Journal(disk, 100 * K, "n0", True)
+    journal = Journal(disk, 100 * KB, "n0", True)
     list(journal.read())
-    journal.write(TEN[0])
+    journal.write(RECORDS[0])
     journal.begin()
-    journal.write(TEN[1])
-    journal.begin()             # with nothing in it
+    journal.write(RECORDS[1])
+    journal.begin()             # an empty segment
     handles, closed = journal.handles_to_sync()
     assert len(handles) == 3 and len(closed) == 2 and not disk.synced
     disk.fails = {disk.calls + 1: errno.EIO}
@@ -285,29 +289,29 @@
         name: bytes(data) for name, data in disk.files.items()} == disk.synced
 
 
-def test_a_newer_version_is_refused_and_left_as_it_is(tmp_path):
+def test_a_file_of_a_newer_version_is_refused_and_left_unchanged(tmp_path):
     head = bytearray(frames.header(1, "n0", SALT))
     head[8] = 9
     head[-4:] = frames.xxh32_intdigest(bytes(head[:-4])).to_bytes(4, "little")
     (tmp_path / "seg-0000000001").write_bytes(head)
     with pytest.raises(Newer, match="format 9"):
-        list(Journal(Disk(tmp_path), 100 * K).read())
+        list(Journal(Disk(tmp_path), 100 * KB).read())
     assert (tmp_path / "seg-0000000001").read_bytes() == bytes(head)
 
 
-OLD = b"".join((old.record(TAKEN, ["a", "7", "x", 9, "", None, "", False], b"\nbody"),
+LEGACY_LOG = b"".join((old.record(TAKEN, ["a", "7", "x", 9, "", None, "", False], b"\nbody"),
                 old.record(TAKEN, ["b", "7", "x", 9, "", None, "", False], b"other"),
                 old.record(OVER, ["b", "delivered"]), old.record(OWED, ["c", "failed", 0]), b"\x07torn"))
 
 
-def test_an_older_log_is_turned_over_though_cut_off_anywhere():
+def test_conversion_of_a_legacy_log_survives_a_crash_at_any_disk_call():
     def fresh():
         disk = FaultyDisk()
-        disk.files = {"log": bytearray(OLD), "log.new": bytearray(b"half")}
+        disk.files = {"log": bytearray(LEGACY_LOG), "log.new": bytearray(b"half")}
         return disk
-    whole = fresh()
-    torture.start_tracker(whole)
-    for at in range(1, whole.calls + 2):
+    uncut = fresh()
+    torture.start_tracker(uncut)
+    for at in range(1, uncut.calls + 2):
         for part in (0, 0.5, 1.0):
             disk = fresh()
             disk.crash_at, disk.part = at, part
@@ -321,11 +325,11 @@
             assert not {"log", "log.new"} & set(desk.log.disk.files)
 
 
-# What was learned.
+# Learned state.
 
 
-def test_learned_state_is_whole_or_as_before_wherever_a_write_is_cut_off():
-    cuts = 0
+def test_a_crash_while_saving_leaves_the_old_or_the_new_learned_state():
+    crashes = 0
     for at in range(1, 9):
         for part in (0, 0.3, 1.0):
             disk = FaultyDisk()
@@ -334,42 +338,42 @@
             try:
                 Learned("", None, disk=disk).keep([["h", [3], [4]]], 9)
             except Crash:
-                cuts += 1
+                crashes += 1
             for power_cut in (False, True):
                 found = Learned("", print, disk=disk.after(power_cut)).read()
                 assert found in (([["h", [1], [2]]], 5), ([["h", [3], [4]]], 9))
-    assert cuts >= 9
+    assert crashes >= 9
 
 
-def test_a_killed_writer_leaves_learned_state_whole(tmp_path):
+def test_a_killed_writer_leaves_complete_learned_state(tmp_path):
     assert torture.kill_writers(30, tmp_path) > 30
 
 
-@pytest.mark.parametrize("change, kept", [
+@pytest.mark.parametrize("change, valid", [
     (lambda data: data, True), (lambda data: data[:-1], False), (lambda data: b"", False),
     (lambda data: data.replace(b'"version":2', b'"version":1'), True),
     (lambda data: data.replace(b'"version":2', b'"version":3'), False),
     (lambda data: data.replace(b"7]", b"8]"), False), (lambda data: b"{}\n[]", False),
 ])
-def test_a_learned_file_is_read_or_set_aside(tmp_path, change, kept):
-    said = []
-    learned = Learned(tmp_path, lambda event, **more: said.append(event))
-    told = [["h", [], [7]]]
-    assert learned.read() == ([], 0) and learned.keep(told, 5) and not learned.keep(told, 6)
+def test_a_learned_state_file_is_loaded_or_renamed(tmp_path, change, valid):
+    events = []
+    learned = Learned(tmp_path, lambda event, **fields: events.append(event))
+    state = [["h", [], [7]]]
+    assert learned.read() == ([], 0) and learned.keep(state, 5) and not learned.keep(state, 6)
     path = tmp_path / "learned"
     path.write_bytes(change(path.read_bytes()))
-    again = Learned(tmp_path, lambda event, **more: said.append(event)).read()
-    assert again == ((told, 5) if kept else ([], 0))
-    assert bool(said) == (not kept) == (tmp_path / "learned.bad").exists()
+    again = Learned(tmp_path, lambda event, **fields: events.append(event)).read()
+    assert again == ((state, 5) if valid else ([], 0))
+    assert bool(events) == (not valid) == (tmp_path / "learned.bad").exists()
     assert not Learned(tmp_path, None, most=5).keep([["long"] * 9], 7)
 
 
 # Syncs.
 
 
-def test_an_answer_waits_for_its_sync_and_many_share_one():
+def test_a_response_waits_for_a_sync_that_many_share():
     disk = FaultyDisk()
-    journal = Journal(disk, 100 * K, "n0", True)
+    journal = Journal(disk, 100 * KB, "n0", True)
     syncs = []
 
     async def message(syncer, one):
@@ -377,38 +381,38 @@
         await syncer.settled()
         syncs.append(len(disk.synced.get("seg-0000000001", b"")))
 
-    async def play():
+    async def run():
         syncer = Syncer(journal, "each", 10 ** 6, print)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(syncer.serve)
             async with trio.open_nursery() as messages:
-                for one in TEN:
+                for one in RECORDS:
                     messages.start_soon(message, syncer, one)
             nursery.cancel_scope.cancel()
     list(journal.read())
-    trio.run(play)
+    trio.run(run)
     assert syncs == [len(disk.files["seg-0000000001"])] * 10 and disk.calls < 15
 
 
-def test_a_sync_that_fails_is_told_once_and_tried_again():
-    disk, said = FaultyDisk(), []
-    journal = Journal(disk, 100 * K, "n0", True)
+def test_a_failed_sync_is_logged_once_and_retried():
+    disk, events = FaultyDisk(), []
+    journal = Journal(disk, 100 * KB, "n0", True)
     list(journal.read())
 
-    async def play():
-        syncer = Syncer(journal, "each", 10 ** 6, lambda event, **more: said.append(event))
-        journal.write(TEN[0])
+    async def run():
+        syncer = Syncer(journal, "each", 10 ** 6, lambda event, **fields: events.append(event))
+        journal.write(RECORDS[0])
         disk.fails = {disk.calls + 1: errno.EIO, disk.calls + 2: errno.EIO}
         async with trio.open_nursery() as nursery:
             nursery.start_soon(syncer.serve)
             with trio.fail_after(2):
                 await syncer.settled()
             nursery.cancel_scope.cancel()
-    trio.run(play)
-    assert said == ["journal cannot be synced"]
+    trio.run(run)
+    assert events == ["journal cannot be synced"]
 
 
-# The tools.
+# Journal tools.
 
 
 @pytest.fixture
@@ -422,10 +426,10 @@
     return path, desk
 
 
-def test_the_tools_tell_what_a_folder_holds_and_a_damaged_one_is_salvaged(folder, tmp_path):
+def test_tools_report_the_state_of_a_folder_and_salvage_a_damaged_one(folder, tmp_path):
     path, desk = folder
-    now = tools.state(path)
-    assert set(now["held"]) == set(desk.held) and set(now["owed"]) == set(desk.owed) and not now["bad"]
+    state = tools.state(path)
+    assert set(state["held"]) == set(desk.held) and set(state["owed"]) == set(desk.owed) and not state["bad"]
     assert tools.verify(path) == [] and tools.stat(path)["held"] == len(desk.held)
     assert all(orjson.loads(line)["kind"] for line in tools.lines(path))
     before, after = tools.compact(path, 60_000)
@@ -444,25 +448,25 @@
         tools.salvage(path, tmp_path / "fresh")
 
 
-def test_a_folder_in_use_is_not_mended(folder):
+def test_a_folder_in_use_is_not_compacted(folder):
     path, _ = folder
     handle = lock(path)
     with pytest.raises(Held):
         tools.compact(path, 60_000)
     os.close(handle)
-    fcntl.flock(os.open(path, os.O_RDONLY), fcntl.LOCK_SH)      # another kind of lock holds it as well
+    fcntl.flock(os.open(path, os.O_RDONLY), fcntl.LOCK_SH)      # a shared lock blocks it as well
     with pytest.raises(Held):
         lock(path)
 
 
-def test_compaction_while_reading_keeps_damage_apart():
+def test_reading_several_segments_reports_damage_separately():
     disk = FaultyDisk()
-    journal = Journal(disk, 100 * K, "n0")
+    journal = Journal(disk, 100 * KB, "n0")
     list(journal.read())
-    journal.write(*TEN[:3])
+    journal.write(*RECORDS[:3])
     journal.begin()
-    journal.write(*TEN[3:])
+    journal.write(*RECORDS[3:])
     data = disk.files["seg-0000000001"]
     data[60] ^= 1
-    found = list(Journal(disk.after(), 100 * K).read())
+    found = list(Journal(disk.after(), 100 * KB).read())
     assert [kind for kind, _, _ in found].count(DAMAGE) == 1 and len(found) == 10
