--- a/courseroute/checked.py
+++ b/courseroute/checked.py
@@ -1,8 +1,9 @@
-"""Checked files: what was read, against a msgspec Struct, every mistake at once and each with its place.
+"""Validates files against msgspec Structs and reports all mistakes at once, each with its location.
 
-Called by `run.setup` (a relay's configuration) and `town.script` (a town's day). Times in files are text, a
-number and a unit; `span` gives their whole nanoseconds. A file's form is a Struct of Structs, lists, maps
-with text keys and plain values; a Struct may have a `faults` method that names what no type can say.
+Called by `run.setup` (a relay's configuration) and `town.script` (an emulator script). Durations in files are
+text, a number and a unit; `span` converts them to nanoseconds. A file's schema is a Struct of Structs, lists,
+maps with text keys and plain values; a Struct may have a `faults` method that reports invalid values which
+the types cannot express.
 """
 
 import difflib
@@ -24,10 +25,12 @@
 
 
 class Form(msgspec.Struct, forbid_unknown_fields=True, kw_only=True, omit_defaults=True):
-    """The base of all that stands in a checked file."""
+    """Base class of the schemas of validated files."""
 
 
 class Mistake(NamedTuple):
+    """One invalid value or missing key of a file."""
+
     place: str  # as lanes.notice.target or faults[2].kind
     found: str
     allowed: str
@@ -37,7 +40,7 @@
 
 
 class Bad(Exception):
-    """`mistakes`: all that was found wrong in one file."""
+    """An invalid file; `mistakes` lists everything found wrong in it."""
 
     def __init__(self, name, mistakes):
         self.name, self.mistakes = name, mistakes
@@ -54,6 +57,7 @@
 
 
 def span_text(ns):
+    """A duration in whole nanoseconds as text, in the largest unit that divides it."""
     return next(
         f"{ns // size}{unit}"
         for unit, size in reversed(NS.items())
@@ -62,7 +66,7 @@
 
 
 def read(path):
-    """A TOML file's content; Bad where it can't be read or is no TOML."""
+    """A TOML file's content; raises Bad if it cannot be read or is not TOML."""
     try:
         with open(path, "rb") as file:
             return tomllib.load(file)
@@ -73,8 +77,8 @@
 
 
 def made(told, form, name="configuration", strict=True):
-    """The Struct that `told` describes; Bad with every mistake where it describes none. A machine's file that
-    is not strict may leave out what a person would be asked for: no `faults` method is heard."""
+    """Builds the Struct that `told` describes, or raises Bad with all mistakes. With `strict` False, for
+    generated files that may omit settings required of a person, no `faults` method is called."""
     mistakes = []
     thing = check(told, form, "", mistakes, strict)
     if mistakes:
@@ -83,14 +87,16 @@
 
 
 def check(told, kind, place, mistakes, strict=True):
-    """Makes a value of type `kind`, or adds to `mistakes` and returns None."""
+    """Converts `told` to type `kind`, or adds to `mistakes` and returns None."""
     kind, described = bare(kind)
     if isinstance(kind, type) and issubclass(kind, msgspec.Struct):
         return check_form(told, kind, place, mistakes, strict)
-    if get_origin(kind) is dict and wanted(told, dict, place, mistakes):
+    if get_origin(kind) is dict and has_type(told, dict, place, mistakes):
         part = get_args(kind)[1]
-        return {key: check(value, part, joined(place, key), mistakes, strict) for key, value in told.items()}
-    if get_origin(kind) is list and wanted(told, list, place, mistakes):
+        return {
+            key: check(value, part, join_keys(place, key), mistakes, strict) for key, value in told.items()
+        }
+    if get_origin(kind) is list and has_type(told, list, place, mistakes):
         (part,) = get_args(kind)
         return [check(value, part, f"{place}[{at}]", mistakes, strict) for at, value in enumerate(told)]
     if get_origin(kind) in (dict, list):
@@ -102,27 +108,28 @@
 
 
 def bare(kind):
-    """(the type alone, the type with all that is said of its values); `X | None` stands for X."""
+    """(the type, the type with its constraints); `X | None` is treated as X."""
     if get_origin(kind) is Union or type(kind).__name__ == "UnionType":
         kind = next(part for part in get_args(kind) if part is not type(None))
     return (get_args(kind)[0] if get_origin(kind) is Annotated else kind), kind
 
 
 def check_form(told, form, place, mistakes, strict):
-    if not wanted(told, dict, place, mistakes):
+    """Converts a map to the Struct `form`, or adds to `mistakes` and returns None."""
+    if not has_type(told, dict, place, mistakes):
         return None
     fields = {field.encode_name: field for field in msgspec.structs.fields(form)}
     before, values = len(mistakes), {}
     for name, value in told.items():
         if name in fields:
             kind = fields[name].type
-            values[fields[name].name] = check(value, kind, joined(place, name), mistakes, strict)
+            values[fields[name].name] = check(value, kind, join_keys(place, name), mistakes, strict)
         else:
             near = difflib.get_close_matches(name, fields, 1)
             meant = f"{near[0]} (meant?), " if near else ""
             mistakes.append(
                 Mistake(
-                    joined(place, name),
+                    join_keys(place, name),
                     "a key that does not exist",
                     meant + ", ".join(key for key in fields if key not in near),
                 )
@@ -130,33 +137,35 @@
     for name, field in fields.items():
         if field.required and name not in told:
             allowed = allowed_by(bare(field.type)[1], "a value")
-            mistakes.append(Mistake(joined(place, name), "nothing", allowed))
+            mistakes.append(Mistake(join_keys(place, name), "nothing", allowed))
     if len(mistakes) > before:
         return None
     thing = form(**values)
     for name, found, allowed in getattr(thing, "faults", list)() if strict else ():
-        mistakes.append(Mistake(joined(place, name), found, allowed))
+        mistakes.append(Mistake(join_keys(place, name), found, allowed))
     return thing
 
 
-def wanted(told, kind, place, mistakes):
+def has_type(told, kind, place, mistakes):
+    """Whether `told` is of type `kind`, dict or list; adds to `mistakes` if not."""
     if isinstance(told, kind):
         return True
     mistakes.append(Mistake(place, shown(told), "a table" if kind is dict else "a list"))
     return False
 
 
-def joined(place, name):
+def join_keys(place, name):
     return f"{place}.{name}" if place else name
 
 
 def shown(value):
+    """The value as text for an error message, shortened to 60 characters."""
     text = repr(value)
     return text if len(text) <= 60 else text[:57] + "..."
 
 
 def allowed_by(kind, said):
-    """What a type allows, in words: its own description, its choices, else what msgspec expected."""
+    """Describes the values a type allows: its description, its choices, or what msgspec expected."""
     for meta in getattr(kind, "__metadata__", ()):
         if meta.description:
             return meta.description
@@ -167,10 +176,10 @@
 
 
 def keys(form, place="", maps="NAME"):
-    """(place, type in words, default) of every key of a form, those of its parts behind it: for the pages."""
+    """(place, type in words, default) of every key of a schema, including nested ones, for documentation."""
     for field in msgspec.structs.fields(form):
         kind, described = bare(field.type)
-        here = joined(place, field.encode_name)
+        here = join_keys(place, field.encode_name)
         if get_origin(kind) is dict:
             here, kind = f"{here}.{maps}", get_args(kind)[1]
         elif get_origin(kind) is list and isinstance(get_args(kind)[0], type):
--- a/courseroute/journal/plan.py
+++ b/courseroute/journal/plan.py
@@ -1,65 +1,70 @@
-"""What is compacted, when, and what still fits: no I/O, no clock, no record.
+"""Compaction policy and space limits: which segment to compact, when, and what fits. No I/O, no clock.
 
-A journal is a list of segments, oldest first, the newest still written to. Called by `store`.
+A journal is a list of segments, oldest first; the last one is still being written. Called by `store`.
 """
 
 from typing import NamedTuple
 
-SECTORS = 512  # a file counts in whole ones
-SEGMENTS, LEAST_SEGMENT, MOST_SEGMENT = 24, 16 << 10, 4 << 20
-LIVE_SHARE = 0.78  # of the disk that live messages may fill, with room for their legs and ends
-RESERVE, LEAST_RESERVE = 2, 160 << 10  # segments, bytes kept for ends, calls and copies: not for new
-START, WASTE = 4, 0.5  # compaction begins below so many free segments; above half where so much is dead
-SLICE = 2_000_000  # nanoseconds of work at a stretch
+SECTOR_BYTES = 512  # file sizes are rounded up to whole sectors
+SEGMENT_COUNT, MIN_SEGMENT_BYTES, MAX_SEGMENT_BYTES = 24, 16 << 10, 4 << 20
+MAX_LIVE_SHARE = 0.78  # of the disk for live messages; the rest is for their attempts and closing records
+RESERVE_SEGMENTS, MIN_RESERVE_BYTES = 2, 160 << 10  # space that new messages do not use
+# Compaction starts with fewer than MIN_FREE_SEGMENTS segments free, or above half full if at least the share
+# MIN_DEAD_SHARE of a segment is dead.
+MIN_FREE_SEGMENTS, MIN_DEAD_SHARE = 4, 0.5
+SLICE_NS = 2_000_000  # length of one compaction slice
 
 
 class Segment(NamedTuple):
+    """A segment: its number, its size and its live bytes."""
+
     number: int
     size: int
     live: int
 
 
 def segment_size(most):
-    """Bytes after which a segment is closed, for a disk of so many."""
-    return max(min(LEAST_SEGMENT, most // 8), min(MOST_SEGMENT, most // SEGMENTS))
+    """Size in bytes at which a segment is closed, for a journal of at most `most` bytes."""
+    return max(min(MIN_SEGMENT_BYTES, most // 8), min(MAX_SEGMENT_BYTES, most // SEGMENT_COUNT))
 
 
 def reserve(most):
-    return min(max(RESERVE * segment_size(most), LEAST_RESERVE), most // 6)
+    """Bytes reserved for closing records, attempts and copies, for a journal of at most `most` bytes."""
+    return min(max(RESERVE_SEGMENTS * segment_size(most), MIN_RESERVE_BYTES), most // 6)
 
 
 def used(segments):
-    """Bytes on the disk at the most: a file counts in whole sectors."""
-    return sum(segment.size + SECTORS for segment in segments)
+    """Upper bound of the bytes on disk, with files rounded up to whole sectors."""
+    return sum(segment.size + SECTOR_BYTES for segment in segments)
 
 
 def fits(total, size, most, reserved):
-    """Whether so many bytes more may be written beside the `total`; `reserved`: by one who may not use the
-    reserve."""
-    return total + size + SECTORS <= most - (reserve(most) if reserved else 0)
+    """Whether `size` more bytes fit beside `total`; `reserved`: without using the space reserved for closing
+    records, attempts and copies."""
+    return total + size + SECTOR_BYTES <= most - (reserve(most) if reserved else 0)
 
 
-def pays(total, most):
-    """Whether a look for a victim may find one: cheap, asked often."""
-    return total > most // 2 or most - total < START * segment_size(most)
+def may_pay_off(total, most):
+    """Whether a search for a victim may succeed: a cheap check that runs often."""
+    return total > most // 2 or most - total < MIN_FREE_SEGMENTS * segment_size(most)
 
 
-def may_take(live, size, most):
-    """Whether a message of that size may be taken on, with all that it may still write."""
-    return live + size <= int(most * LIVE_SHARE)
+def may_accept(live, size, most):
+    """Whether a message of that size can be accepted, with the records it may add later."""
+    return live + size <= int(most * MAX_LIVE_SHARE)
 
 
 def victim(segments, most, hurry=False):
-    """The number of the segment to compact next, None where that would not pay yet. The newest is never one;
-    of the others it is the one that costs least to copy for what it frees."""
+    """The number of the segment to compact next, or None if compaction is not worthwhile yet. Never the
+    newest; of the others, the one with the best ratio of freed to copied bytes."""
     closed = segments[:-1]
     free = most - used(segments)
-    short = hurry or free < START * segment_size(most)
+    short = hurry or free < MIN_FREE_SEGMENTS * segment_size(most)
     if not short and used(segments) <= most // 2:
         return None
     best = max(closed, key=lambda one: ((one.size - one.live) / (one.live + 1), -one.number), default=None)
     if best is None or best.live >= best.size:
         return None
-    if not short and best.live > best.size * (1 - WASTE) or best.live + 2 * SECTORS > free:
+    if not short and best.live > best.size * (1 - MIN_DEAD_SHARE) or best.live + 2 * SECTOR_BYTES > free:
         return None
     return best.number
