--- a/courseroute/town/clients.py
+++ b/courseroute/town/clients.py
@@ -1,7 +1,8 @@
-"""Front and clients: messages handed in at the drawn times, again after a pushback or a dead relay.
+"""Emulated clients and the router before them: they submit messages at the scheduled times, and resubmit them
+after a rejection or the loss of a relay.
 
-Called by `quarter`. Open loop: each arrival is a task of its own, started when it is due, whatever became of
-the others. A client waits so long for its answer, then hands in again under a new id.
+Called by `quarter`. The load is open-loop: each arrival is a task of its own, started when it is due, however
+the others fare. A client waits for its answer up to a timeout, then submits the message under a new id.
 """
 
 import enum
@@ -17,132 +18,154 @@
 
 MS = 1_000_000
 S = 1000 * MS
-HEAD, BODY = 16 << 10, 64 << 10
-LEAST_PAUSE = 100 * MS  # before a message is handed in again
-REPORTED_LATE = 100 * MS
+MAX_HEAD_BYTES, MAX_BODY_BYTES = 16 << 10, 64 << 10
+MIN_RETRY_DELAY = 100 * MS  # before a message is submitted again
+REPORTED_LATE = 100 * MS  # arrivals that start later than that are recorded
 
 
 class Reach(enum.StrEnum):
-    """How clients reach a relay."""
+    """How clients can reach a relay."""
 
     ANY = "any connection"
-    OPEN = "open connections"  # it is told to end: those that stay open are used, no new ones are made
+    OPEN = "open connections"  # it was told to stop: its open connections are used, no new ones are made
     NONE = "none"
 
 
 class Front:
-    """Which relay gets a message: any of those it believes to live."""
+    """Chooses the relay for a message among those believed to be up."""
 
     def __init__(self, count):
         self.reach = [Reach.ANY] * count
 
-    def pick(self, drawn, tries, idle):
-        """`idle`: for each relay its open connections that no message uses."""
-        living = [
+    def pick(self, draw, tries, idle):
+        """Returns the index of a relay.
+
+        `draw`: random number in [0, 1); `tries`: earlier tries of the message, each moves on by one relay;
+        `idle`: for each relay its open connections that no message uses. If no relay is reachable, all are
+        candidates.
+        """
+        candidates = [
             i for i, reach in enumerate(self.reach) if reach == Reach.ANY or reach == Reach.OPEN and idle[i]
         ] or list(range(len(self.reach)))
-        return living[(int(drawn * len(living)) + tries) % len(living)]
+        return candidates[(int(draw * len(candidates)) + tries) % len(candidates)]
 
 
 class Clients:
+    """The clients of one worker process: submits its arrivals and records what became of each."""
+
     def __init__(self, day, arrivals, relays, clock, tell):
-        self.day, self.arrivals, self.relays = day, arrivals, [tuple(place) for place in relays]
+        """`relays`: the address of each relay; `clock`: monotonic time in nanoseconds."""
+        self.day, self.arrivals, self.relays = day, arrivals, [tuple(address) for address in relays]
         self.clock, self.tell, self.front = clock, tell, Front(len(relays))
         self.answer_within = span(day.traffic.answer_within)
-        self.idle = [[] for _ in relays]  # kept links to each relay
-        self.room = [trio.CapacityLimiter(day.traffic.connections) for _ in relays]
+        self.idle = [[] for _ in relays]  # open connections to each relay that no message uses
+        self.connection_limits = [trio.CapacityLimiter(day.traffic.connections) for _ in relays]
         self.tries, self.late, self.start = {}, 0, 0
-        self.on_the_way = {}  # relay -> (longest span on the way, share of its requests, generator)
-        self.by_n = {arrival.n: arrival for arrival in arrivals}
+        self.request_delays = {}  # relay -> (longest delay in ns, share of its requests, random generator)
+        self.arrivals_by_number = {arrival.n: arrival for arrival in arrivals}
 
     async def serve(self, nursery, start):
+        """Starts a task for each arrival when it is due; `start`: the start of the day on `clock`."""
         self.start, self.nursery = start, nursery
         for arrival in self.arrivals:
             due = start + arrival.at
             if (wait := due - self.clock()) > 0:
                 await trio.sleep(wait / 1e9)
-            self.note_late(self.clock() - due)
+            self.record_lateness(self.clock() - due)
             nursery.start_soon(self.message, arrival)
 
     async def play(self, number, strike, start):
-        """Requests to the relays that are struck are on their way for up to `by`."""
+        """Runs one scheduled fault: requests to the affected relays are delayed by up to `by`."""
         await trio.sleep(max(0, start + strike.begin - self.clock()) / 1e9)
         draw = random.Random(f"{self.day.seed} {number}")
-        late = span(strike.fault.by), strike.fault.share, draw
+        delay = span(strike.fault.by), strike.fault.share, draw
         relays = [int(name.removeprefix("n")) for name in strike.names]
-        self.on_the_way |= dict.fromkeys(relays, late)
+        self.request_delays |= dict.fromkeys(relays, delay)
         await trio.sleep(max(0, start + strike.end - self.clock()) / 1e9)
         for relay in relays:
-            if self.on_the_way.get(relay) is late:  # another one may have begun meanwhile
-                del self.on_the_way[relay]
+            if self.request_delays.get(relay) is delay:  # a later fault may have replaced it
+                del self.request_delays[relay]
 
-    def time_on_the_way(self, relay):
-        """Seconds that a request to that relay takes beside the loopback's own."""
-        longest, share, draw = self.on_the_way.get(relay, (0, 0.0, random))
+    def request_delay(self, relay):
+        """Returns the delay in seconds to add to a request to that relay."""
+        longest, share, draw = self.request_delays.get(relay, (0, 0.0, random))
         return draw.uniform(0, longest) / 1e9 if draw.random() < share else 0.0
 
-    def note_late(self, by):
+    def record_lateness(self, by):
+        """Records by how many nanoseconds an arrival started late, if that exceeds all earlier ones."""
         if by > max(self.late, REPORTED_LATE):
             self.late = by
             self.tell("late", self.clock(), by=by)
 
-    def again(self, n, after, mark):
-        """The platform says that a message came back, or that its relay is lost with all it held."""
-        if n in self.by_n:
-            self.nursery.start_soon(self.message, self.by_n[n], max(after, LEAST_PAUSE), mark)
+    def again(self, n, after, retry):
+        """Submits a message anew: it was returned, or its relay was lost with all that it held.
+
+        `after`: nanoseconds to wait; `retry`: the value of X-Retry.
+        """
+        if n in self.arrivals_by_number:
+            self.nursery.start_soon(
+                self.message, self.arrivals_by_number[n], max(after, MIN_RETRY_DELAY), retry
+            )
+
+    async def message(self, arrival, pause=0, retry=""):
+        """Submits a message until it gets a final answer, its deadline is near or its tries are used up.
 
-    async def message(self, arrival, pause=0, mark=""):
+        `pause`: nanoseconds before the first try; `retry`: the value of X-Retry ("" for none).
+        """
         until = self.start + arrival.at + span(self.day.lanes[arrival.lane].deadline)
         while self.tries.get(arrival.n, 0) <= self.day.traffic.again:
             if pause:
                 await trio.sleep(pause / 1e9)
             left = until - self.clock()
-            if left < 2 * LEAST_PAUSE:
+            if left < 2 * MIN_RETRY_DELAY:
                 return
             tries = self.tries[arrival.n] = self.tries.get(arrival.n, 0) + 1
             relay = self.front.pick(arrival.relay, tries - 1, self.idle)
-            status, after = await self.hand_in(arrival, f"{arrival.n}-{tries}", relay, left, mark)
+            status, after = await self.submit(arrival, f"{arrival.n}-{tries}", relay, left, retry)
             if status is not None and status not in (429, 503):
                 return
-            mark = "1" if status else "again"
-            pause = max(after, LEAST_PAUSE)
-
-    async def hand_in(self, arrival, name, relay, left, mark):
-        """(the answer's status, nanoseconds to stay away); None where no answer came. `left`: nanoseconds of
-        the message's time, which run from when a connection is free for it."""
-        async with self.room[relay]:
-            begun = self.clock()
-            give_up_at = trio.current_time() + self.answer_within / 1e9
-            head = self.head_of(arrival, name, left, mark)
-            row = self.row_of(arrival, name, relay, begun + left)
+            retry = "1" if status else "again"
+            pause = max(after, MIN_RETRY_DELAY)
+
+    async def submit(self, arrival, name, relay, left, retry):
+        """Submits a message once, and returns (status, nanoseconds to wait before a retry).
+
+        The status is None without an answer. `left`: nanoseconds until the message's deadline, counted from
+        when a connection is free for it.
+        """
+        async with self.connection_limits[relay]:
+            started = self.clock()
+            answer_due = trio.current_time() + self.answer_within / 1e9
+            head = self.request_head(arrival, name, left, retry)
+            row = self.ledger_row(arrival, name, relay, started + left)
             why = "no answer"
-            for _ in range(2):  # a kept connection may be closed just as the request crosses
+            for _ in range(2):  # the relay may close an idle connection while the request is on its way
                 link = self.idle[relay].pop() if self.idle[relay] else None
-                kept, why = link is not None, "no answer"
+                reused, why = link is not None, "no answer"
                 try:
-                    with trio.move_on_at(give_up_at):
+                    with trio.move_on_at(answer_due):
                         if link is None:
-                            link, why = Link(HEAD, BODY), "unreachable"
+                            link, why = Link(MAX_HEAD_BYTES, MAX_BODY_BYTES), "unreachable"
                             await link.dial(self.relays[relay])
                             why = "no answer"
-                        self.tell("hand", begun, **row)
-                        await trio.sleep(self.time_on_the_way(relay))
+                        self.tell("hand", started, **row)
+                        await trio.sleep(self.request_delay(relay))
                         await link.send("POST", *head, body_of(row["mark"], arrival.body))
                         await link.hear_all()
-                        return self.answered(link, name, relay)
+                        return self.record_answer(link, name, relay)
                 except (*LOST, Refused):
                     why = "closed" if why == "no answer" else why
-                    if kept and not link.call.begun:
+                    if reused and not link.call.begun:
                         link.close()
                         continue
                 link.close()
                 break
-        told = {} if why != "unreachable" else {"n": arrival.n}
-        self.tell("dropped", self.clock(), id=name, relay=f"n{relay}", why=why, **told)
+        number = {} if why != "unreachable" else {"n": arrival.n}
+        self.tell("dropped", self.clock(), id=name, relay=f"n{relay}", why=why, **number)
         return None, 0
 
-    def head_of(self, arrival, name, left, mark):
-        """(target, headers) of the request."""
+    def request_head(self, arrival, name, left, retry):
+        """Returns (target, headers) of the request."""
         target = f"/{arrival.lane}" + (f"?subject={arrival.key}" if arrival.key else "")
         headers = [
             ("Host", "origin.svc"),
@@ -150,30 +173,32 @@
             ("X-Class", arrival.lane),
             ("X-Tenant", arrival.customer),
             ("X-Deadline", f"{left // MS}m"),
-            ("Idempotency-Key", self.mark_of(arrival)),
+            ("Idempotency-Key", self.idempotency_key(arrival)),
             ("Envelope", f"dest={arrival.dst}"),
         ]
-        return target, headers + ([("X-Retry", mark)] if mark else [])
+        return target, headers + ([("X-Retry", retry)] if retry else [])
 
-    def row_of(self, arrival, name, relay, until):
-        """What the ledger is told of a message handed in."""
+    def ledger_row(self, arrival, name, relay, until):
+        """Returns the ledger's row of a submitted message; `until` is its deadline in nanoseconds."""
         return {
             "id": name,
             "n": arrival.n,
             "relay": f"n{relay}",
             "lane": arrival.lane,
-            "mark": self.mark_of(arrival),
+            "mark": self.idempotency_key(arrival),
             "key": arrival.key,
             "dst": arrival.dst,
             "until": until,
         }
 
-    def mark_of(self, arrival):
+    def idempotency_key(self, arrival):
+        """Returns the message's idempotency key, the same for all its tries."""
         return f"k{self.day.seed}-{arrival.n}"
 
-    def answered(self, link, name, relay):
-        status, told = link.call.status, link.call.headers.get("retry-after", "")
-        after = int(float(told) * S) if told and math.isfinite(float(told)) else 0
+    def record_answer(self, link, name, relay):
+        """Records an answer and releases its connection; returns (status, nanoseconds to wait)."""
+        status, retry_after = link.call.status, link.call.headers.get("retry-after", "")
+        after = int(float(retry_after) * S) if retry_after and math.isfinite(float(retry_after)) else 0
         self.tell("answer", self.clock(), id=name, relay=f"n{relay}", status=status, after=after)
         if link.call.reusable():
             self.idle[relay].append(link)
--- a/courseroute/town/proxy.py
+++ b/courseroute/town/proxy.py
@@ -1,5 +1,5 @@
-"""A TCP proxy before one address: connections come up late or stay silent, bytes are held back or come late,
-answers come twice."""
+"""A TCP proxy before one address that delays or silences connections, holds back or delays bytes, and sends
+answers twice."""
 
 import contextlib
 import select
@@ -14,18 +14,20 @@
 
 
 class Copies(NamedTuple):
-    """Which answers come twice: those that begin with `head`, again `after_s` seconds later; None: as the
-    next request on the connection has passed."""
+    """Which answers are sent twice: those that begin with `head`.
+
+    The copy follows `after_s` seconds later, or, if that is None, after the next request on the connection.
+    """
 
     head: bytes
     after_s: float | None
 
 
 class Proxy:
-    """Passes bytes on both ways. All switches may be used from any thread; `close` ends it."""
+    """Forwards bytes in both directions. All methods and attributes may be used from any thread."""
 
     def __init__(self, place, receive_buffer=None):
-        """`place`: (address, port) behind it; `receive_buffer`: bytes that the system takes in unread."""
+        """`place`: (address, port) of the server; `receive_buffer`: bytes of the receive buffer."""
         self.place = place
         self.listener = socket.socket()
         if receive_buffer:
@@ -38,15 +40,17 @@
         self.accepting.set()
         self.passing.set()
         self.fillers = []
-        self.copies, self.copied = None, 0  # Copies to make, and how many were made
-        self.late_s = 0.0  # what clients send is passed on so many seconds later
-        self.silent_connections = 0  # so many of the next ones are read, and never answered
+        self.copies, self.copied = None, 0  # the Copies to send (None: none), and how many were sent
+        self.late_s = 0.0  # delay in seconds of what clients send
+        self.silent_connections = 0  # so many of the next connections are read, but never answered
         self.threads = [threading.Thread(target=self.accept, daemon=True)]
         self.threads[0].start()
 
     def drop_new_connections(self):
-        """From now on the system drops the first packet of each new connection, as the queue of those to be
-        accepted is full. A client sends that packet again after a second."""
+        """Makes the kernel drop the SYN of each new connection, by filling the accept queue.
+
+        A client sends its SYN again after a second.
+        """
         self.paused.clear()
         self.accepting.clear()
         self.paused.wait()
@@ -57,19 +61,22 @@
             self.fillers.append(filler)
 
     def accept_again(self):
+        """Ends the effect of `drop_new_connections`."""
         for filler in self.fillers:
             filler.close()
         self.fillers.clear()
         self.accepting.set()
 
     def hold_bytes(self):
-        """Nothing that clients send is read any more."""
+        """Stops reading what clients send."""
         self.passing.clear()
 
     def pass_bytes(self):
+        """Reads again what clients send."""
         self.passing.set()
 
     def close(self):
+        """Stops the proxy and closes its listener; waits up to 5 s for each of its threads."""
         self.accept_again()
         self.ended.set()
         self.passing.set()
@@ -91,10 +98,10 @@
     def connection(self, client):
         if self.silent_connections:
             self.silent_connections -= 1
-            return self.swallow(client)
+            return self.read_silently(client)
         with client, socket.create_connection(self.place) as server, contextlib.suppress(OSError):
-            copy = due = None  # of an answer: its bytes, and when they are to be sent
-            late = deque()  # (when to send it, bytes) of what the client sent
+            copy = due = None  # bytes of an answer to repeat, and the time to send them
+            delayed = deque()  # (time to send, bytes) of what the client sent
             while not self.ended.is_set():
                 wanted = [server, client] if self.passing.is_set() else [server]
                 wait = POLL_S if due is None else min(POLL_S, max(0, due - time.monotonic()))
@@ -105,21 +112,21 @@
                     if source is server:
                         client.sendall(data)
                     else:
-                        late.append((time.monotonic() + self.late_s, data))
+                        delayed.append((time.monotonic() + self.late_s, data))
                     if source is server and self.copies and data.startswith(self.copies.head):
                         copy, after_s = data, self.copies.after_s
                         due = None if after_s is None else time.monotonic() + after_s
                     elif source is client and copy and due is None:
                         due = time.monotonic()
-                while late and late[0][0] <= time.monotonic():
-                    server.sendall(late.popleft()[1])
+                while delayed and delayed[0][0] <= time.monotonic():
+                    server.sendall(delayed.popleft()[1])
                 if due is not None and time.monotonic() >= due:
                     client.sendall(copy)
                     self.copied += 1
                     copy = due = None
 
-    def swallow(self, client):
-        """Reads a connection to its end without a word."""
+    def read_silently(self, client):
+        """Reads a connection to its end without answering."""
         with client, contextlib.suppress(OSError):
             while not self.ended.is_set():
                 if select.select([client], [], [], POLL_S)[0] and not client.recv(CHUNK):
--- a/courseroute/town/scripted.py
+++ b/courseroute/town/scripted.py
@@ -1,9 +1,9 @@
-"""A town played by hand: hosts answer call by call as a `plan` says, the platform as it is told.
+"""Hosts and a platform whose answers a test scripts: a plan decides the answer to each call.
 
-For tests, and for trying things out: the town's own hosts and directory (`hosts`, `platform`), on
-a trio loop in a thread of its own, steered from the one that made it. A plan is told each call as a map
-(id, key, host, body, port, n, at) and returns (status, headers), the same with a body, "hang", "drop", or
-bytes to be sent as is.
+For tests and experiments. The emulator's hosts and directory (`hosts`, `platform`) run on a trio loop in a
+thread of their own and are controlled from the thread that made them. A plan is a function that gets each
+call as a map (id, key, host, body, port, n, at) and returns (status, headers), (status, headers, body),
+"hang", "drop", or the bytes to send.
 """
 
 import threading
@@ -21,16 +21,19 @@
     "traffic": {"lanes": {"x": 1.0}},
     "lanes": {"x": {"deadline": "8s"}},
 }
-HANG = 20 * 10**9
-SPOILT = {"half": b"", "noise": b"\0noise\0\0\0"}  # what comes in place of an answer's last nine bytes
+HANG = 20 * 10**9  # nanoseconds
+MALFORMED = {"half": b"", "noise": b"\0noise\0\0\0"}  # replaces an answer's last nine bytes
 
 
 class PlannedHosts(Hosts):
-    def __init__(self, town, places):
-        super().__init__(made(DAY, Day), places, time.monotonic_ns, town.tell)
+    """Hosts that answer each call as the plan says."""
+
+    def __init__(self, town, destinations):
+        super().__init__(made(DAY, Day), destinations, time.monotonic_ns, town.tell)
         self.town = town
 
     async def call(self, partner, endpoint, sock, stream, parser, request, began, fresh):
+        """Handles one complete call. Returns whether the connection stays open."""
         call = {
             "id": request.headers.get("x-request-id"),
             "host": endpoint.host.name,
@@ -49,7 +52,7 @@
             try:
                 await stream.send_all(plan)
                 await self.stays_connected(sock, None)
-            finally:  # the relay may end it while it is being written
+            finally:  # the relay may close the connection during the write, which ends this task
                 call["closed"] = True
         elif plan == "drop":
             sock.shutdown(trio.socket.SHUT_RDWR)
@@ -61,10 +64,13 @@
 
 
 class PlannedPlatform(Platform):
-    """Says `status` to all while that is set; tells what it was asked, and at which of its addresses."""
+    """A platform that records each call with the number of the address it came to.
+
+    While `platform_status` of the town is set, it answers all calls with that status.
+    """
 
-    def __init__(self, town, directory, places):
-        super().__init__(directory, places, time.monotonic_ns, town.tell, town.notice)
+    def __init__(self, town, directory, addresses):
+        super().__init__(directory, addresses, time.monotonic_ns, town.tell, town.notice)
         self.town = town
 
     async def answer(self, request, relay):
@@ -73,7 +79,7 @@
             plan = self.town.discovery_plan(len(self.town.watches) - 1)
             if plan == "silent":
                 await trio.sleep_forever()
-            if plan in SPOILT:
+            if plan in MALFORMED:
                 return plan, *await super().answer(request, relay)
             if plan is not None:
                 return plan, (), b""
@@ -83,29 +89,31 @@
             self.town.posts.append(relay)
         return await super().answer(request, relay)
 
-    def written(self, door, answer):
-        if answer[0] not in SPOILT:
-            return super().written(door, answer)
-        how, *whole = answer
-        return super().written(door, whole)[:-9] + SPOILT[how]
+    def encode_answer(self, parser, answer):
+        if answer[0] not in MALFORMED:
+            return super().encode_answer(parser, answer)
+        defect, *intact = answer
+        return super().encode_answer(parser, intact)[:-9] + MALFORMED[defect]
 
 
-class Everywhere(list):
-    """The same address, whoever asks."""
+class SameForAll(list):
+    """A host's addresses with the same one for every relay, whatever its number."""
 
     def __getitem__(self, _):
         return super().__getitem__(0)
 
 
 class ScriptedTown:
-    """One destination, number 7, with the hosts named, and a platform; `close` ends it."""
+    """One destination, number 7, with the hosts named, and a platform. Runs until `close`.
+
+    Records all calls, notices and calls for the endpoint list in lists that a test may read at any time.
+    """
 
     def __init__(self, hosts=("h1", "h2")):
         self.calls, self.notices, self.watches, self.posts, self.rows = [], [], [], [], []
         self.plan, self.platform_status = lambda call: (200, {}), None
-        self.discovery_plan = (
-            lambda n: None
-        )  # n-th call for the list: None, "silent", "half", "noise" or a status
+        # For the n-th call for the endpoint list. None: as usual; or "silent", "half", "noise" or a status.
+        self.discovery_plan = lambda n: None
         self.place = Place(7, "d", Partner(), tuple(HostPlace(name, i, "z") for i, name in enumerate(hosts)))
         self.up, self.moves = threading.Event(), 0
         self.thread = threading.Thread(target=trio.run, args=(self.run,), daemon=True)
@@ -117,7 +125,7 @@
         self.planning = trio.CapacityLimiter(200)
         async with trio.open_nursery() as self.nursery:
             hosts = PlannedHosts(self, [self.place])
-            self.where = {name: Everywhere(found) for name, found in (await hosts.open()).items()}
+            self.where = {name: SameForAll(found) for name, found in (await hosts.open()).items()}
             await hosts.serve(self.nursery)
             self.directory = Directory([self.entry(host) for host in self.place.hosts])
             self.platform = PlannedPlatform(self, self.directory, self.where)
@@ -127,36 +135,40 @@
             self.nursery.cancel_scope.cancel()
 
     def tell(self, what, at, **row):
+        """Adds a row to the ledger; `at` in nanoseconds."""
         self.rows.append({"at": at, "what": what, **row})
 
     def notice(self, name, state, after):
+        """Records an accepted notice; `after` in nanoseconds."""
         self.notices.append({"id": name, "state": state} | ({"after_ms": after // 10**6} if after else {}))
 
     def entry(self, host, status="active"):
+        """Returns a host's entry as the directory keeps it."""
         return entry_of(self.place, host, status) | {"type": "k"}
 
     def entries(self):
-        """The list as the protocol has it."""
-        return [self.platform.entry(self.entry(host), 0) for host in self.place.hosts]
+        """Returns the initial list as it is sent to relays."""
+        return [self.platform.entry_for_relay(self.entry(host), 0) for host in self.place.hosts]
 
-    def steer(self, what, *told):
-        """Runs something on the town's own thread."""
-        return trio.from_thread.run_sync(what, *told, trio_token=self.token)
+    def run_on_loop(self, function, *args):
+        """Calls a function on the thread of the trio loop and returns its result."""
+        return trio.from_thread.run_sync(function, *args, trio_token=self.token)
 
     def change(self, name, status):
-        """The directory's list changes: active, leaving or left."""
+        """Changes a host's status in the directory: active, leaving or left."""
         host = next(host for host in self.place.hosts if host.name == name)
-        self.steer(self.directory.change, self.entry(host, status))
+        self.run_on_loop(self.directory.change, self.entry(host, status))
 
     def move_platform(self, how):
-        """Another address for it all; the old one goes on (`serves`) or is closed at once (`gone`)."""
+        """Opens another address for the platform; the old one goes on ("serves") or is closed ("gone")."""
         old, self.moves = self.moves, self.moves + 1
         self.discovery = trio.from_thread.run(
             self.platform.listen, self.moves, self.nursery, trio_token=self.token
         )
         if how == "gone":
-            self.steer(self.platform.end, old)
+            self.run_on_loop(self.platform.close_listener, old)
 
     def close(self):
-        self.steer(self.ended.set)
+        """Stops the loop and waits up to 5 s for its thread to end."""
+        self.run_on_loop(self.ended.set)
         self.thread.join(5)
--- a/tests/wrong_relay.py
+++ b/tests/wrong_relay.py
@@ -1,4 +1,4 @@
-"""Relays that are wrong in one way each: the town's judge must catch every one. Run as a relay of a town:
+"""Relays that are faulty in one way each; the emulator's judge must detect every one. Run as its relay:
 
     python tests/wrong_relay.py MODE
 """
@@ -10,48 +10,50 @@
 from courseroute.town.null import NullRelay, main
 
 
-class Wrong(NullRelay):
+class FaultyRelay(NullRelay):
+    """Violates the one rule that `mode` names."""
+
     mode = ""
 
-    async def take(self, told):
+    async def accept_message(self, message):
         if self.mode == "refuses but sends":
-            self.nursery.start_soon(self.deliver, told)
+            self.nursery.start_soon(self.deliver, message)
             return 503
-        return await super().take(told)
+        return await super().accept_message(message)
 
-    async def deliver(self, told):
+    async def deliver(self, message):
         if self.mode == "refuses but sends":
             await trio.sleep(0.2)
-        if self.mode == "loses" and told["name"].split("-")[0].endswith("3"):
+        if self.mode == "loses" and message["name"].split("-")[0].endswith("3"):
             return
         if self.mode == "changes":
-            told["body"] = told["body"][:-1] + b"?"
+            message["body"] = message["body"][:-1] + b"?"
         if self.mode == "strays":
-            told["dst"] = str(int(told["dst"]) % 2 + 1)
-        await super().deliver(told)
+            message["dst"] = str(int(message["dst"]) % 2 + 1)
+        await super().deliver(message)
         if self.mode == "sends on after the end":
-            await self.notice(told, "failed")
+            await self.notice(message, "failed")
             await trio.sleep(0.2)
-            await super().deliver(told)
+            await super().deliver(message)
 
-    async def call(self, told, place):
-        if self.mode == "out of order" and told["key"]:
-            await trio.sleep(0.4 if int(told["name"].split("-")[0]) % 2 else 0)
+    async def call(self, message, address):
+        if self.mode == "out of order" and message["key"]:
+            await trio.sleep(0.4 if int(message["name"].split("-")[0]) % 2 else 0)
         if self.mode == "pushes over":
             for _ in range(30):
-                status, headers = await super().call(told, place)
+                status, headers = await super().call(message, address)
                 if status == 200:
                     break
                 await trio.sleep(0.02)
             return status, headers
-        status, headers = await super().call(told, place)
+        status, headers = await super().call(message, address)
         if self.mode == "twice" and status != 200 or self.mode == "ignores waits" and status == 429:
             await trio.sleep(0.3)
-            await super().call(told, place)
+            await super().call(message, address)
         if self.mode == "calls it harmless" and status != 200:
-            await self.notice(told, "returned")
+            await self.notice(message, "returned")
         elif status != 200 and self.mode != "loses":
-            await self.notice(told, "failed")
+            await self.notice(message, "failed")
         return status, headers
 
     def usable(self, state):
@@ -64,5 +66,5 @@
 
 
 if __name__ == "__main__":
-    Wrong.mode = sys.argv[1]
-    main(Wrong)
+    FaultyRelay.mode = sys.argv[1]
+    main(FaultyRelay)
