--- a/courseroute/adapter/wire.py
+++ b/courseroute/adapter/wire.py
@@ -4,7 +4,7 @@
 import traceback
 
 from courseroute.decide import Dispatcher
-from courseroute.model.terms import parse_bool, terms_of
+from courseroute.model.terms import parse_bool, parse_settings
 
 NS_PER_US = 1000
 ENDINGS = {
@@ -125,7 +125,7 @@
             self.now = required_field(found, "at-time", int) * NS_PER_US
         elif tag == "YOUR_TURN":
             for relay_id in self.active_relays:
-                self.notify_dispatcher(relay_id, "settle")
+                self.notify_dispatcher(relay_id, "end_batch")
             return "".join(reply + "\n" for reply in self.replies) + "OK\n"
         elif tag == "DEFINE_LIST":
             self.current_list = self.endpoint_lists[required_field(found, "sheet", int)] = []
@@ -138,7 +138,7 @@
         parts = dict(part.split("=", 1) for part in rest.split("\t") if "=" in part)
         relay_id = required_field(parts, "who", int)
         try:
-            terms = terms_of({k[8:] if k.startswith("options=") else k: v for k, v in parts.items()})
+            terms = parse_settings({k[8:] if k.startswith("options=") else k: v for k, v in parts.items()})
             self.relays[relay_id] = (
                 Dispatcher(required_field(parts, "seed", int), terms),
                 terms["listed_rates"],
@@ -164,7 +164,7 @@
         elif tag == "INBOUND":
             self.notify_dispatcher(
                 relay_id,
-                "take",
+                "accept",
                 required_field(found, "handle"),
                 found.get("destination", ""),
                 found.get("lane", ""),
@@ -180,7 +180,7 @@
             wait = int(found.get("detail") or 0) * 1000 * NS_PER_US if ending == "full" else 0
             self.notify_dispatcher(
                 relay_id,
-                "outcome",
+                "attempt_ended",
                 required_field(found, "handle"),
                 required_field(found, "n", int),
                 required_field(found, "host"),
@@ -197,7 +197,7 @@
                 [] if scope == "failed" else self.endpoint_lists.get(required_field(found, "sheet", int), [])
             )
             self.notify_dispatcher(
-                relay_id, "roster", scope, [parse_entry(entry, listed) for entry in entries]
+                relay_id, "update_endpoints", scope, [parse_entry(entry, listed) for entry in entries]
             )
 
     def notify_dispatcher(self, relay_id, method, *arguments):
--- a/courseroute/decide.py
+++ b/courseroute/decide.py
@@ -1,9 +1,9 @@
 """All dispatch decisions of a relay: sends are booked ahead on a schedule instead of throttled.
 
 There is one Dispatcher(seed, terms) for each relay. Each method handles one kind of input and returns actions
-as plain tuples; `settle` ends a batch. courseroute/model/interface.py documents the interface and
+as plain tuples; `end_batch` ends a batch. courseroute/model/interface.py documents the interface and
 docs/design.md the reasons. A message passes check_admission, enter_key_queue, book_slot, dispatch_due,
-pick_host and start_attempt; the result of an attempt comes in through `outcome`.
+pick_host and start_attempt; the result of an attempt comes in through `attempt_ended`.
 """
 
 import random
@@ -99,33 +99,33 @@
 USUAL_RATE_SPAN = 4 * S
 # Resource limits of a relay: shares of its descriptors, memory and disk, then sizes in bytes or
 # items, then times.
-HOUSE = {
+RELAY_LIMITS = {
     "client_connections": 0.5,
     "refusing": 0.06,
     "host_connections": 0.3,
-    "half_read": 0.1,
-    "held": 0.25,
-    "kept_list": 0.05,
-    "learned": 0.02,
-    "head": 16 << 10,
-    "body": 64 << 10,
-    "list": 4 << 20,
-    "name": 256,
-    "ends": 1024,
-    "legs": 8,
+    "partial_requests_share": 0.1,
+    "held_share": 0.25,
+    "endpoint_cache_share": 0.05,
+    "learned_state_share": 0.02,
+    "max_head_bytes": 16 << 10,
+    "max_body_bytes": 64 << 10,
+    "max_list_bytes": 4 << 20,
+    "max_name_length": 256,
+    "max_recent_ends": 1024,
+    "max_attempts": 8,
     "backlog": 512,
-    "idle": 5 * S,
+    "idle_timeout": 5 * S,
     "idle_share": 0.8,
-    "between_slices": S // 250,
-    "read_within": 2 * S,
-    "write_within": 2 * S,
-    "list_within": 10 * S,
-    "notice_within": 2 * S,
-    "notice_pause": S // 20,
-    "drain_answer": S // 2,
-    "last_words": S // 5,
-    "sweep": S // 2,
-    "learned_for": FORGET_AFTER,
+    "compaction_pause": S // 250,
+    "read_timeout": 2 * S,
+    "write_timeout": 2 * S,
+    "list_timeout": 10 * S,
+    "notice_timeout": 2 * S,
+    "short_retry_delay": S // 20,
+    "answer_drain_timeout": S // 2,
+    "closing_grace": S // 5,
+    "sweep_interval": S // 2,
+    "learned_state_valid_for": FORGET_AFTER,
 }
 
 
@@ -164,7 +164,7 @@
         self.schedule(now + RANKING_INTERVAL, self.renew_ranking)
         return self.take_actions()
 
-    def roster(self, now, scope, entries, as_of=None):
+    def update_endpoints(self, now, scope, entries, as_of=None):
         """Handles an endpoint list or a failed request for one.
 
         `as_of`: when discovery's list is known to have had this content, None for now; for a malformed
@@ -220,7 +220,7 @@
             for message in destination.without_host:
                 self.close_message(now, message, CloseCause.NO_DESTINATION)
 
-    def memory(self, now):
+    def learned_state(self, now):
         """State that a restarted relay restores after the endpoint list. Without it the relay would send
         a burst to hosts that refuse calls or are down."""
         state = [
@@ -231,16 +231,16 @@
             or host.route.refused_at is not None
             or host.route.wait_until > now
         ]
-        list_state = self.list_schedule.memory()
+        list_state = self.list_schedule.state()
         return [*state, [ENDPOINT_LIST_KEY, list_state, []]] if list_state else state
 
-    def recall(self, now, state, saved_at):
+    def restore_learned_state(self, now, state, saved_at):
         """Restores state that was saved at `at`. A wait holds to its end, headroom grows with the state's
         age, and after FORGET_AFTER no other limit holds."""
         age = max(0, now - saved_at) if saved_at else 0
         for name, host_values, route_values in state:
             if name == ENDPOINT_LIST_KEY:
-                self.list_schedule.recall(host_values)
+                self.list_schedule.restore_state(host_values)
             if host := self.hosts.get(name):
                 route = host.route
                 set_values(route, STORED_ROUTE_FIELDS, route_values)
@@ -251,7 +251,7 @@
                     route.refused_at, route.learned_rate, route.usual_rate = None, 0.0, 0.0
         return self.take_actions()
 
-    def take(
+    def accept(
         self,
         now,
         name,
@@ -304,7 +304,7 @@
             self.complete_message(now, self.open_messages[name])
         return self.take_actions()
 
-    def why_held(self, now, name, number):
+    def hold_cause(self, now, name, number):
         """The HoldCause for which an attempt must not be sent although its connection is up, else None. A
         wait or a drain may have been reported since it was dispatched."""
         attempt = self.attempts.get((name, number))
@@ -328,7 +328,7 @@
         until = self.repeatable_until(attempt.message, attempt.first_uncertain_at) if attempt else FOREVER
         return None if until == FOREVER else until
 
-    def first_may_have_run(self, name, number):
+    def earlier_attempt(self, name, number):
         """(dispatch time of the first attempt that may have run, idempotency window), in nanoseconds, if this
         attempt repeats such a one; else None. The window is 0 for a class that has none."""
         attempt = self.attempts.get((name, number))
@@ -353,16 +353,18 @@
             for message in self.open_messages.values()
             if not message.pending and self.is_safe_to_retry(now, message)
         ]:
-            self.close_message(now, message, CloseCause.STOPPING)
+            self.close_message(now, message, CloseCause.SHUTTING_DOWN)
         # Not earlier: the other relays' shares of the limits don't grow when their clients do.
         self.actions.append(("see off",))
 
     def wake(self, now):
-        """A requested timer fired; `settle` does the work."""
+        """A requested timer fired; `end_batch` does the work."""
         self.timer_at = None
         return self.take_actions()
 
-    def outcome(self, now, name, number, host_name, ending, duration, wait, report, is_final, idle=None):
+    def attempt_ended(
+        self, now, name, number, host_name, ending, duration, wait, report, is_final, idle=None
+    ):
         """Handles the end of an attempt; see courseroute/model/interface.py."""
         attempt = self.attempts.pop((name, number), None)
         if attempt is None:
@@ -413,7 +415,7 @@
             self.leave_key_queue(now, message)
         return self.take_actions()
 
-    def settle(self, now):
+    def end_batch(self, now):
         """Ends a batch: runs due events, sends due messages and requests the next timer."""
         self.run_due(now)
         if now < self.sends_end_at:
@@ -536,7 +538,7 @@
         elif now >= self.latest_start(message):
             self.close_message(now, message, CloseCause.TOO_LATE)
         elif free_room < 0:
-            self.close_message(now, message, CloseCause.NO_ROOM)
+            self.close_message(now, message, CloseCause.CAPACITY_EXCEEDED)
         return not message.is_closed
 
     def enter_key_queue(self, now, message):
@@ -761,7 +763,7 @@
     def is_available(self, now, host):
         """Whether a new call may start; a host with an old unanswered attempt gets none."""
         if now < host.not_before:
-            self.schedule(host.not_before, int)  # only wakes the relay: `settle` then sends
+            self.schedule(host.not_before, int)  # only wakes the relay: `end_batch` then sends
             return False
         first = next(iter(host.attempts.values()), None)
         return (
@@ -868,7 +870,7 @@
         if len(host.destination.routes) > 1:
             self.rebook(now, host.route, True)
 
-    def fresh_for(self, now):
+    def max_idle_time(self, now):
         """How long a connection may have been idle to be reused; older ones are lost more often than new
         ones."""
         return self.idle_losses.reliable_below(LOSS_THRESHOLD)
--- a/courseroute/decisions/endpoint_list.py
+++ b/courseroute/decisions/endpoint_list.py
@@ -1,6 +1,6 @@
 """When discovery is called for the endpoint list, and how long that list may be used without confirmation.
 
-The platform regards relays as notified of a change `told_within` after it was made, whether or not they
+The platform regards relays as notified of a change `notified_within` after it was made, whether or not they
 received it. `drain_grace` later, no request may go to an endpoint that is draining or gone. A relay may
 therefore use its list for the sum of both after discovery last confirmed it. Where the settings lack these
 times, as in the simulator, the list does not expire.
@@ -35,17 +35,17 @@
     """Plans calls for the endpoint list from the results of earlier ones."""
 
     def __init__(self, terms, draw):
-        """`terms`: told_within, moved_told_within, drain_grace and ask_within are read; `draw(low, high)`
-        returns a random number."""
+        """`terms`: notified_within, moved_notified_within, drain_grace and ask_within are read; `draw(low,
+        high)` returns a random number."""
         self.draw = draw
         self.ask_within = terms.get("ask_within", 10 * S)
         # If polled, each answer ends its call; otherwise one watch stays open until it fails.
-        self.is_polled = "told_within" in terms
+        self.is_polled = "notified_within" in terms
         self.usable_for = None
         if self.is_polled and "drain_grace" in terms:
             self.usable_after_malformed = terms["drain_grace"] - MAX_PROCESS_DELAY
-            self.usable_for = terms["told_within"] + terms["drain_grace"] - MAX_PROCESS_DELAY
-            self.usable_after_move = terms["moved_told_within"] + terms["drain_grace"] - MAX_PROCESS_DELAY
+            self.usable_for = terms["notified_within"] + terms["drain_grace"] - MAX_PROCESS_DELAY
+            self.usable_after_move = terms["moved_notified_within"] + terms["drain_grace"] - MAX_PROCESS_DELAY
         self.usable_until = None  # None if the list does not expire
         # Discovery's time to answer, without the wait: the longest recent one, decaying.
         self.response_time = 0
@@ -61,12 +61,12 @@
         """The list was restored from the previous process."""
         self.confirm(now - MAX_RESTART_TIME)
 
-    def memory(self):
-        """State for a restarted relay, to be passed to `recall`; empty while discovery answers."""
+    def state(self):
+        """State for a restarted relay, to be passed to `restore_state`; empty while discovery answers."""
         has_failed = self.failing_since is not None or self.announced_shutdown
         return [self.usable_until, self.announced_shutdown] if has_failed else []
 
-    def recall(self, state):
+    def restore_state(self, state):
         """Restores state after a restart, which must not extend the list's validity. A discovery that
         announced its shutdown stays down for the new process. One that only failed has to fail again for the
         full time, as it may be crowded."""
--- a/courseroute/decisions/final_answer.py
+++ b/courseroute/decisions/final_answer.py
@@ -16,7 +16,7 @@
 MIN_RESERVE_LANE_DIVISOR = 8  # the minimum is at most this fraction of the time that its class allows
 
 
-def answer_by(accepted_at, deadline, lane_time=None):
+def final_answer_due(accepted_at, deadline, lane_time=None):
     """The latest time to start the final answer to a message that was accepted at `accepted_at`.
     `lane_time`: the time that the settings allow a message of its class from submission to its deadline, None
     if they don't limit it."""
--- a/courseroute/journal/learned.py
+++ b/courseroute/journal/learned.py
@@ -1,9 +1,9 @@
 """The file of learned partner state: versioned, checksummed and replaced atomically.
 
 One line of JSON with the version, the time it was learned and the checksum of what follows, then the
-state itself (`Dispatcher.memory`). It is written to a temporary file, synced and renamed. A file of an older
-version is read; a damaged file or one of a newer version is renamed and the relay starts without it. The
-dispatcher accounts for the age of the state (`Dispatcher.recall`).
+state itself (`Dispatcher.learned_state`). It is written to a temporary file, synced and renamed. A file of an
+older version is read; a damaged file or one of a newer version is renamed and the relay starts without it.
+The dispatcher accounts for the age of the state (`Dispatcher.restore_learned_state`).
 """
 
 import contextlib
--- a/courseroute/journal/torture.py
+++ b/courseroute/journal/torture.py
@@ -17,7 +17,7 @@
 
 import click
 
-from courseroute.decide import HOUSE
+from courseroute.decide import RELAY_LIMITS
 from courseroute.journal.faulty import Crash, FaultyDisk
 from courseroute.journal.learned import Learned
 from courseroute.journal.store import Journal
@@ -37,8 +37,8 @@
     def __init__(self):
         self.taken = {}
 
-    def take(self, now, name, dst, lane, deadline, key=None, customer=None, again=False, legs=()):
-        self.taken[name] = [tuple(leg) for leg in legs]
+    def accept(self, now, name, dst, lane, deadline, key=None, customer=None, again=False, attempts=()):
+        self.taken[name] = [tuple(attempt) for attempt in attempts]
         return []
 
     def __getattr__(self, _):
@@ -59,7 +59,8 @@
     salts = itertools.count(7)
     journal = Journal(disk, most, "n0", syncs, lambda: next(ticks), lambda: next(salts))
     events = []
-    desk = Desk(IdleDispatcher(), {"lanes": {"a": {}}, "legs": 2}, HOUSE | {"ends": 4}, journal, 1 << 30,
+    desk = Desk(IdleDispatcher(), {"lanes": {"a": {}}, "legs": 2},
+                RELAY_LIMITS | {"max_recent_ends": 4}, journal, 1 << 30,
                 lambda: next(ticks),
                 lambda event, **fields: events.append((event, fields)))
     desk.hosts = desk.notices = NoOp()
@@ -85,8 +86,8 @@
         """Runs one operation on the tracker and records its result once it has returned."""
         self.interrupted.add(name)
         if what == "accept":
-            message = {"name": name, "dst": "7", "lane": "a", "left": 10 ** 10, "mark": "m", "customer": "",
-                    "key": "", "again": False, "body": (name.encode() * size)[:size]}
+            message = {"name": name, "dst": "7", "lane": "a", "left": 10 ** 10, "mark": "m",
+                       "customer": "", "key": "", "again": False, "body": (name.encode() * size)[:size]}
             if (desk.take(message, False)[0] == 202 and name not in self.closed
                     and name not in self.pending_notices):
                 self.open_messages.setdefault(name, [])
--- a/courseroute/model/causes.py
+++ b/courseroute/model/causes.py
@@ -7,17 +7,17 @@
     """Why a message got a final status other than delivered."""
 
     NO_DESTINATION = "destination not listed"
-    NO_ROOM = "no room"
+    CAPACITY_EXCEEDED = "no room"
     TOO_LATE = "no time left for an attempt"
     BOOKED_TOO_LATE = "booked past its time"
     WINDOW_CLOSED = "idempotency window closed"
     MAY_HAVE_RUN = "may have run"
     NO_ATTEMPT_LEFT = "no attempt left"
     DEADLINE = "deadline"
-    STOPPING = "relay stops"
+    SHUTTING_DOWN = "relay stops"
     NOT_READY = "relay not ready"
     CLIENT_GONE = "client gone"
-    NOT_WRITTEN = "journal cannot be written"
+    JOURNAL_UNWRITABLE = "journal cannot be written"
 
 
 class HoldCause(enum.StrEnum):
@@ -31,14 +31,14 @@
     NO_CONNECTION = "endpoint gone or no room for a connection"
 
 
-class ConnectionEnd(enum.StrEnum):
+class ConnectionCloseCause(enum.StrEnum):
     """Why the relay closed a connection to a host."""
 
     ENDED_BY_HOST = "ended by the host"
-    BYTES_BEHIND_ANSWER = "bytes behind an answer"
-    IDLE_FOR_LONG = "idle for long"
-    ROOM_NEEDED = "room needed"
-    NOT_TRUSTED = "calls to this kind of host get lost"
+    UNEXPECTED_BYTES = "bytes behind an answer"
+    IDLE_TIMEOUT = "idle for long"
+    EVICTED = "room needed"
+    CONNECTIONS_UNRELIABLE = "calls to this kind of host get lost"
     ATTEMPT_HELD = "attempt not sent"
-    NO_WHOLE_ANSWER = "no whole answer"
-    ANSWER_SAYS_CLOSE = "answer says close"
+    INCOMPLETE_ANSWER = "no whole answer"
+    ANSWER_ASKS_CLOSE = "answer says close"
--- a/courseroute/model/interface.py
+++ b/courseroute/model/interface.py
@@ -8,40 +8,40 @@
 
     start(now)
         The relay starts.
-    roster(now, scope, entries, as_of)
+    update_endpoints(now, scope, entries, as_of)
         An endpoint list or a failed request for one. scope: full, saved, changes, failed, spoilt (malformed
         answer that was written at as_of) or ended (discovery ended a watch). An entry is (host, state, area,
         rate, kind, destination); state: ready, draining or gone; rate: None if not listed. as_of: when
         discovery's list is known to have had this content, None for now.
     discovery_moved(now)
         Discovery has a new address.
-    memory(now)
+    learned_state(now)
         Returns the state for a restarted relay as plain lists; called periodically.
-    recall(now, state, saved_at)
+    restore_learned_state(now, state, saved_at)
         Restores that state, after the endpoint list; saved_at: when it was saved.
-    take(now, name, destination_name, lane, deadline, key, customer, is_retry, attempts)
+    accept(now, name, destination_name, lane, deadline, key, customer, is_retry, attempts)
         A new message. deadline: when its final answer has to be given. attempts: those before a restart,
         each (host, sent at, ending or None).
     withdraw(now, name)
         The client no longer wants the message.
-    outcome(now, name, number, host_name, ending, duration, wait, report, is_final, idle)
+    attempt_ended(now, name, number, host_name, ending, duration, wait, report, is_final, idle)
         An attempt ended. wait: the pause that the host requested, 0 for none. is_final: the message gets no
         further attempt. idle: how long the connection had been idle, None for a new one.
-    fresh_for(now)
+    max_idle_time(now)
         Returns how long a connection may have been idle to be reused.
-    why_held(now, name, number)
+    hold_cause(now, name, number)
         Called when an attempt's connection is up. Returns a HoldCause if it must not be sent any more, else
         None.
     send_by(name, number)
         Returns the time by which its last byte has to be written, None if there is no limit.
-    first_may_have_run(name, number)
+    earlier_attempt(name, number)
         Returns (dispatch time, idempotency window) of the first attempt that may have run if this attempt
         repeats it, else None.
     stop(now)
         The relay is requested to shut down.
     wake(now)
         A requested timer fired.
-    settle(now)
+    end_batch(now)
         The batch ends: due messages are sent.
 
 Endings: delivered, error, full, timeout, cancelled, unsent; unreachable (no connection), broken (the
@@ -62,16 +62,16 @@
     ("see off",)                                close idle client connections; clients go to other relays
     ("exit",)
 
-The table HOUSE holds the resource limits of a relay: shares of its descriptors, memory and disk, sizes in
-bytes, times.
+The table RELAY_LIMITS holds the resource limits of a relay: shares of its descriptors, memory and disk, sizes
+in bytes, times.
 
 The terms are a plain map; any of them may be missing:
 
     relays, number (this relay's index among them, from 0), area, slots, room, legs, cancel, copies,
     stay_away (longest retry delay that clients observe), tick, connect_within, idle_close,
-    drain_grace, ask (the list has to be requested), ask_within, told_within (each call for the list is one
-    exchange, and relays count as notified of a change so long after it was made), moved_told_within (the same
-    after discovery changed its address), cold, cold_from, overload, fall,
+    drain_grace, ask (the list has to be requested), ask_within, notified_within (each call for the list is
+    one exchange, and relays count as notified of a change so long after it was made), moved_notified_within
+    (the same after discovery changed its address), cold, cold_from, overload, fall,
     rough (listed rates are approximate), turn_gap, kinds (kind -> {apart, per_call}),
     customers (name -> quota a second), over_share (value kept),
     lanes (name -> {target, deadline, effect, group, window, value, late_value, ordered})
--- a/courseroute/model/terms.py
+++ b/courseroute/model/terms.py
@@ -12,7 +12,7 @@
     return [value for value in settings.get(path, "").split(",") if value]
 
 
-def terms_of(settings):
+def parse_settings(settings):
     """`settings` maps each setting's path to its value as text. Durations, in microseconds, become
     nanoseconds. A setting that is absent stays absent."""
     terms = {}
@@ -86,17 +86,17 @@
     return terms
 
 
-def paths_of(value, path="", found=None):
+def flatten_settings(value, path="", found=None):
     """Flattens nested settings to a map of paths to texts. A plain list is joined by commas; a list of maps
     becomes its count and a path for each item."""
     found = {} if found is None else found
     if isinstance(value, dict):
         for name, part in value.items():
-            paths_of(part, f"{path}.{name}" if path else name, found)
+            flatten_settings(part, f"{path}.{name}" if path else name, found)
     elif isinstance(value, list) and any(isinstance(part, dict) for part in value):
         found[f"{path}.count"] = str(len(value))
         for i, part in enumerate(value):
-            paths_of(part, f"{path}.{i}", found)
+            flatten_settings(part, f"{path}.{i}", found)
     elif isinstance(value, list):
         found[path] = ",".join(format_value(part) for part in value)
     else:
--- a/courseroute/run/config.py
+++ b/courseroute/run/config.py
@@ -11,12 +11,12 @@
 
 from courseroute.checked import Bad, Mistake, made, span
 from courseroute.checked import read as read_toml
-from courseroute.model.terms import paths_of, terms_of
+from courseroute.model.terms import flatten_settings, parse_settings
 from courseroute.run.setup import Setup, told_of
 from courseroute.wire.words import place_of
 
-TOLD_WITHIN = 6 * 10**9  # ns until changes known to discovery count as received, despite failures
-MOVED_TOLD_WITHIN = 4 * 10**9  # the same, after a SIGHUP that changes the discovery address
+NOTIFIED_WITHIN = 6 * 10**9  # ns until changes known to discovery count as received, despite failures
+MOVED_NOTIFIED_WITHIN = 4 * 10**9  # the same, after a SIGHUP that changes the discovery address
 PLATFORM = {
     "listen": "ROUTER_LISTEN",
     "directory": "ROUTER_DISCOVERY",
@@ -53,7 +53,7 @@
     limits = told.get("limits") or {}
     shape = {name: value for name, value in named.items() if value is not None}
     try:
-        shape |= told_of(terms_of(paths_of(told.get("settings", {}))))
+        shape |= told_of(parse_settings(flatten_settings(told.get("settings", {}))))
         shape |= {
             "seed": str(told.get("seed", "0")),
             "limits": {
@@ -75,7 +75,7 @@
     """Converts a Setup for the relay: addresses as pairs, sizes in bytes, times in nanoseconds."""
     terms = setup.terms()
     terms["ask"] = True  # over sockets, discovery sends the list only on request
-    terms |= {"told_within": TOLD_WITHIN, "moved_told_within": MOVED_TOLD_WITHIN}
+    terms |= {"notified_within": NOTIFIED_WITHIN, "moved_notified_within": MOVED_NOTIFIED_WITHIN}
     return {
         "name": setup.name,
         "listen": place_of(setup.listen),
--- a/courseroute/run/relay.py
+++ b/courseroute/run/relay.py
@@ -7,7 +7,7 @@
 import trio
 
 from courseroute.checked import Bad
-from courseroute.decide import HOUSE, Dispatcher
+from courseroute.decide import RELAY_LIMITS, Dispatcher
 from courseroute.journal.disk import Disk
 from courseroute.journal.frames import Newer
 from courseroute.journal.learned import Learned
@@ -56,20 +56,20 @@
 
     async def run(self):
         """Runs the relay from startup to the end of shutdown."""
-        told, house, terms = self.told, HOUSE, dict(self.told["terms"])
-        kept_list = int(told["disk"] * house["kept_list"]) if told["keeps_list"] else 0
+        told, limits, terms = self.told, RELAY_LIMITS, dict(self.told["terms"])
+        kept_list = int(told["disk"] * limits["endpoint_cache_share"]) if told["keeps_list"] else 0
         syncs = told["sync"] != "off"
         self.lock = lock(told["state"], LOCK_TIMEOUT_S)
         clock = open_clock(Disk(told["state"]), syncs=syncs)
         self.clock = clock.now
-        learned = int(told["disk"] * house["learned"])
+        learned = int(told["disk"] * limits["learned_state_share"])
         room = told["disk"] - 2 * (kept_list + learned + CLOCK_BYTES)
         log = Journal(Disk(told["state"]), room, told["name"], syncs)
         self.roster = Roster(told["state"], kept_list) if kept_list else None
-        most_calls = int(told["sockets"] * house["host_connections"])
+        most_calls = int(told["sockets"] * limits["host_connections"])
         terms["slots"] = min(terms.get("slots", most_calls), most_calls)  # each call needs a connection
         dispatcher = Dispatcher(told["seed"], terms)
-        self.desk = desk = Desk(dispatcher, terms, house, log, told["memory"], self.clock, say)
+        self.desk = desk = Desk(dispatcher, terms, limits, log, told["memory"], self.clock, say)
         desk.learned = Learned(told["state"], say, learned, syncs)
         desk.syncer = Syncer(log, told["sync"], told["sync_every"], say)
         standstills = Standstills(time.monotonic_ns)
@@ -79,13 +79,13 @@
         listener.setsockopt(trio.socket.SOL_SOCKET, trio.socket.SO_REUSEADDR, 1)
         await listener.bind(told["listen"])
         async with trio.open_nursery() as nursery:
-            keep_for = terms.get("idle_close", house["idle"]) * house["idle_share"]
-            pool = Pool(most_calls, keep_for, time.monotonic_ns, desk.fresh_for)
-            desk.hosts = Hosts(nursery, desk, pool, house, terms, self.clock, say)
-            desk.notices = Notices(desk, house, told["discovery"], say)
+            keep_for = terms.get("idle_close", limits["idle_timeout"]) * limits["idle_share"]
+            pool = Pool(most_calls, keep_for, time.monotonic_ns, desk.max_idle_time)
+            desk.hosts = Hosts(nursery, desk, pool, limits, terms, self.clock, say)
+            desk.notices = Notices(desk, limits, told["discovery"], say)
             watch = Watch(terms["listed_rates"], None)
             desk.discovery = Discovery(
-                nursery, desk, desk.hosts, house, told["discovery"], watch, self.clock, say
+                nursery, desk, desk.hosts, limits, told["discovery"], watch, self.clock, say
             )
             desk.alarm, desk.leave = self.set_alarm, self.left.set
             self.enter(Phase.RECOVERING, clock="kept" if clock.continues else "new")
@@ -93,12 +93,12 @@
             self.load_initial_endpoints(watch)
             desk.recover(same_clock=clock.continues)
             most, refusing = (
-                int(told["sockets"] * house[name]) for name in ("client_connections", "refusing")
+                int(told["sockets"] * limits[name]) for name in ("client_connections", "refusing")
             )
-            half_read = int(told["memory"] * house["half_read"])
-            self.clients = Clients(desk, house, listener, most, refusing, half_read, say)
+            half_read = int(told["memory"] * limits["partial_requests_share"])
+            self.clients = Clients(desk, limits, listener, most, refusing, half_read, say)
             desk.see_off = self.clients.close_idle
-            listener.listen(house["backlog"])
+            listener.listen(limits["backlog"])
             desk.ready = True
             self.enter(Phase.SERVING, restored=len(desk.held), owed=len(desk.owed))
             await nursery.start(self.handle_signals)
@@ -135,9 +135,9 @@
         self.desk.ready = False
         self.enter(Phase.CLOSING, held=len(self.desk.held), clients=len(self.clients.open))
         self.clients.close_idle(silent_too=True)
-        with trio.move_on_after(HOUSE["last_words"] / 1e9):
+        with trio.move_on_after(RELAY_LIMITS["closing_grace"] / 1e9):
             while self.clients.open or self.desk.owed:
-                await trio.sleep(HOUSE["notice_pause"] / 1e9)
+                await trio.sleep(RELAY_LIMITS["short_retry_delay"] / 1e9)
         listener.close()
 
     async def report(self):
@@ -194,7 +194,7 @@
         """Wakes the dispatcher at the times that `set_alarm` sets."""
         while True:
             self.alarm_set = trio.Event()
-            left = self.alarm_at - self.clock() if self.alarm_at else HOUSE["idle"]
+            left = self.alarm_at - self.clock() if self.alarm_at else RELAY_LIMITS["idle_timeout"]
             with trio.move_on_after(max(0, left) / 1e9):
                 await self.alarm_set.wait()
                 continue
@@ -206,13 +206,13 @@
         """Runs compaction slices between other work."""
         while True:
             busy = log.wants() and self.desk.guarded(log.step)
-            await trio.sleep(HOUSE["between_slices" if busy else "notice_pause"] / 1e9)
+            await trio.sleep(RELAY_LIMITS["compaction_pause" if busy else "short_retry_delay"] / 1e9)
 
     async def sweep(self, pool):
         """Periodic maintenance: closes stale connections and retries writes that failed."""
         while True:
-            due = time.monotonic_ns() + HOUSE["sweep"]
-            await trio.sleep(HOUSE["sweep"] / 1e9)
+            due = time.monotonic_ns() + RELAY_LIMITS["sweep_interval"]
+            await trio.sleep(RELAY_LIMITS["sweep_interval"] / 1e9)
             self.desk.figures.longest(LOOP_DELAY, time.monotonic_ns() - due)
             pool.sweep()
             self.desk.write_late()
--- a/courseroute/run/setup.py
+++ b/courseroute/run/setup.py
@@ -152,7 +152,8 @@
 
 
 def told_of(terms):
-    """A `terms` map (as `model.terms.terms_of` reads the platform's settings) in the layout of a file."""
+    """A `terms` map (as `model.terms.parse_settings` reads the platform's settings) in the layout of a
+    file."""
 
     def shaped(form, part):
         return {
--- a/courseroute/state/desk.py
+++ b/courseroute/state/desk.py
@@ -9,7 +9,7 @@
 import traceback
 from collections import OrderedDict, deque
 
-from courseroute.decisions.final_answer import answer_by
+from courseroute.decisions.final_answer import final_answer_due
 from courseroute.journal import frames as records
 from courseroute.journal.frames import record
 from courseroute.journal.replay import Replay
@@ -42,7 +42,7 @@
         "ending",
         "size",
         "unread",
-        "answer_by",
+        "final_answer_due",
     )
 
     def __init__(self, name, dst, lane, deadline, body, idempotency_key, key, customer, again, at=0):
@@ -51,7 +51,8 @@
         self.at = at  # time of acceptance; messages with the same ordering key are sent in this order
         self.persisted, self.legs, self.ending = False, [], None  # legs: [host, sent at, ending or None]
         self.size = 0  # bytes reserved in the journal, including the records of all possible attempts
-        self.answer_by = deadline  # when its final answer must be started, to arrive before the deadline
+        # When its final answer must be started, to arrive before the deadline.
+        self.final_answer_due = deadline
         self.unread = 0  # nanoseconds its request waited in the socket; not written to the journal
 
     def record(self):
@@ -86,13 +87,13 @@
 class Desk:
     """The coordinator of one relay. `run.relay` sets the drivers and callbacks that are None at first.
 
-    `house` holds the relay's resource limits, `memory` the bytes that the process may use, `say` writes a log
-    event.
+    `limits` holds the relay's resource limits, `memory` the bytes that the process may use, `say` writes a
+    log event.
     """
 
-    def __init__(self, dispatcher, terms, house, log, memory, clock, say):
-        self.dispatcher, self.terms, self.house, self.log = dispatcher, terms, house, log
-        self.clock, self.say, self.memory = clock, say, int(memory * house["held"])
+    def __init__(self, dispatcher, terms, limits, log, memory, clock, say):
+        self.dispatcher, self.terms, self.limits, self.log = dispatcher, terms, limits, log
+        self.clock, self.say, self.memory = clock, say, int(memory * limits["held_share"])
         self.held, self.owed = {}, {}  # name -> HeldMessage; name -> (state, delay) of a pending notice
         self.ends = OrderedDict()  # name -> delivered, returned, failed or over
         self.hosts = self.notices = self.discovery = self.alarm = self.leave = self.see_off = None
@@ -102,7 +103,8 @@
         self.learned = None  # the file that keeps what the dispatcher has learned of the hosts
         self.reserved_bytes = 0
         self.notice_deadlines = {}  # of messages closed by this process whose notices are pending
-        self.unannounced = {}  # final states held back because they are not written yet: name -> answer_by
+        # Final states held back because they are not written yet: name -> final_answer_due.
+        self.unannounced = {}
         self.unwritten = {}  # name -> kind of the record of its final state that is still to be written
         self.full_since = None
         self.figures = Figures()
@@ -118,7 +120,7 @@
         if request.target in ("/ready", "/health"):
             return (200 if self.ready or request.target == "/health" else 503), (), b""
         try:
-            fields = words.notice_of(request, self.terms["lanes"], self.house["name"])
+            fields = words.notice_of(request, self.terms["lanes"], self.limits["max_name_length"])
         except words.Refused as cause:
             return cause.status, (), f"{cause}\n".encode()
         status, after = self.take(fields, gone, unread)
@@ -146,21 +148,21 @@
             fields["again"],
             now,
         )
-        msg.unread, msg.answer_by = unread, self.answer_by(msg)
+        msg.unread, msg.final_answer_due = unread, self.final_answer_due(msg)
         self.figures.longest("request_unread_ms", unread)
         if cause := self.refusal_cause(msg, gone):
             self.figures.count("closed", cause)
             return 503, 0
         self.held[name] = msg
         self.reserve(msg.size)
-        self.tell("take", name, msg.dst, msg.lane, msg.answer_by, msg.key, msg.customer, msg.again)
+        self.tell("accept", name, msg.dst, msg.lane, msg.final_answer_due, msg.key, msg.customer, msg.again)
         if msg.ending is None:
             try:
                 self.persist(msg)
             except Full as cause:
                 self.log_write_failure(cause)
                 self.remove(msg, None)
-                self.figures.count("closed", CloseCause.NOT_WRITTEN)
+                self.figures.count("closed", CloseCause.JOURNAL_UNWRITABLE)
                 self.tell("withdraw", name)
                 return 503, 0
             self.figures.count("messages", "taken on")
@@ -168,9 +170,9 @@
         state, after = msg.ending
         return {"delivered": 202, "returned": 503}.get(state, 500), after
 
-    def answer_by(self, msg):
+    def final_answer_due(self, msg):
         """When the message's final answer must be started."""
-        return answer_by(msg.at, msg.deadline, self.terms["lanes"].get(msg.lane, {}).get("deadline"))
+        return final_answer_due(msg.at, msg.deadline, self.terms["lanes"].get(msg.lane, {}).get("deadline"))
 
     def refusal_cause(self, msg, gone):
         """The CloseCause that rejects a message before the dispatcher is asked, else None."""
@@ -178,7 +180,7 @@
             return CloseCause.CLIENT_GONE
         if not self.ready:
             return CloseCause.NOT_READY
-        return None if self.has_room(self.measure(msg)) else CloseCause.NO_ROOM
+        return None if self.has_room(self.measure(msg)) else CloseCause.CAPACITY_EXCEEDED
 
     def has_room(self, size):
         """Whether journal and memory have room for `size` more bytes; logs each change from room to none."""
@@ -190,7 +192,7 @@
 
     def measure(self, msg):
         """Computes the bytes to be reserved for a message and all its possible attempts."""
-        msg.size = len(msg.record()) + self.terms.get("legs", self.house["legs"]) * (
+        msg.size = len(msg.record()) + self.terms.get("legs", self.limits["max_attempts"]) * (
             ATTEMPT_RECORD_BYTES + len(msg.name)
         )
         return msg.size
@@ -233,19 +235,19 @@
                 self.finish(msg, "delivered" if ending == "delivered" else "over")
             else:
                 self.try_write(record(records.BACK, [name, n, ending]))
-        self.tell("outcome", name, n, host, ending, took, wait, report, over or msg is None, idle)
+        self.tell("attempt_ended", name, n, host, ending, took, wait, report, over or msg is None, idle)
 
-    def fresh_for(self):
-        return self.dispatcher.fresh_for(self.clock())
+    def max_idle_time(self):
+        return self.dispatcher.max_idle_time(self.clock())
 
-    def why_held(self, name, n):
-        return self.dispatcher.why_held(self.clock(), name, n)
+    def hold_cause(self, name, n):
+        return self.dispatcher.hold_cause(self.clock(), name, n)
 
     def send_by(self, name, n):
         return self.dispatcher.send_by(name, n)
 
-    def first_may_have_run(self, name, n):
-        return self.dispatcher.first_may_have_run(name, n)
+    def earlier_attempt(self, name, n):
+        return self.dispatcher.earlier_attempt(name, n)
 
     def try_write(self, *parts):
         """Writes records that the next process needs; returns whether that worked. A failure is logged, and
@@ -258,10 +260,10 @@
             self.log_write_failure(cause)
             return False
 
-    def must_announce_now(self, answer_by):
+    def must_announce_now(self, final_answer_due):
         """Whether a final state is announced although it is not written: its answer is due, and a restarted
         process that does not know of it would have no time left to send the message."""
-        return self.clock() >= answer_by - self.house["sweep"]
+        return self.clock() >= final_answer_due - self.limits["sweep_interval"]
 
     def write_late(self):
         """Retries to write the final states whose first write failed: without them a restarted process would
@@ -302,9 +304,9 @@
     def decide(self, now, event, event_args):
         """The actions that follow from an event. A dispatcher method that raises gives a wake-up instead."""
         actions = []
-        for method, args in ((event, event_args), ("settle", ())):
+        for method, args in ((event, event_args), ("end_batch", ())):
             more = self.guarded(getattr(self.dispatcher, method), now, *args)
-            actions += [("wake", self.house["sweep"])] if more is None else more
+            actions += [("wake", self.limits["sweep_interval"])] if more is None else more
         return actions
 
     def guarded(self, function, *args):
@@ -388,9 +390,9 @@
         self.reserve(NOTICE_RECORD_BYTES + len(name))
         # Removed before the write, which may compact the journal and must not copy the message then.
         self.remove(msg, state)
-        self.unannounced[name] = msg.answer_by
+        self.unannounced[name] = msg.final_answer_due
         if self.try_write(record(records.OWED, [name, state, after])) or self.must_announce_now(
-            msg.answer_by
+            msg.final_answer_due
         ):
             self.queue_notice(name)
 
@@ -438,7 +440,7 @@
         if name not in self.ends:
             self.reserve(END_RECORD_BYTES + len(name))
         self.ends[name] = state
-        while len(self.ends) > self.house["ends"]:
+        while len(self.ends) > self.limits["max_recent_ends"]:
             oldest, _ = self.ends.popitem(last=False)
             self.reserve(-END_RECORD_BYTES - len(oldest))
 
@@ -446,7 +448,7 @@
 
     def keep_lessons(self):
         """Saves what the dispatcher has learned for the next process, if it changed."""
-        learned = self.guarded(self.dispatcher.memory, self.clock())
+        learned = self.guarded(self.dispatcher.learned_state, self.clock())
         if learned is not None and self.learned is not None:
             try:
                 self.learned.keep(learned, self.clock())
@@ -468,7 +470,7 @@
         each open message to the dispatcher. Where the clock does not continue that of the earlier processes
         (`same_clock` is false) the age of an attempt is unknown: its idempotency window counts as closed, and
         learned state is used only if its time stamp is recent on the new clock too."""
-        replay = Replay(self.house["ends"])
+        replay = Replay(self.limits["max_recent_ends"])
         for kind, fields, body in self.log.read():
             if kind == DAMAGE:
                 self.say("journal damaged", segment=fields.segment, at=fields.at, bytes=fields.size)
@@ -481,7 +483,7 @@
             self.remember_end(name, state)
         for name, kept in replay.held.items():
             msg = self.held[name] = HeldMessage(name, *kept.told[1:4], kept.body, *kept.told[4:])
-            msg.persisted, msg.legs, msg.answer_by = True, kept.legs, self.answer_by(msg)
+            msg.persisted, msg.legs, msg.final_answer_due = True, kept.legs, self.final_answer_due(msg)
             if not same_clock:
                 msg.legs = [[host, 0, ending] for host, _, ending in msg.legs]
             self.reserve(self.measure(msg))
@@ -490,16 +492,16 @@
             self.notices.add(name, state, after)
         if self.learned is not None:
             learned, at = self.learned.read()
-            if learned and (same_clock or 0 <= self.clock() - at <= self.house["learned_for"]):
-                self.tell("recall", learned, at)
+            if learned and (same_clock or 0 <= self.clock() - at <= self.limits["learned_state_valid_for"]):
+                self.tell("restore_learned_state", learned, at)
         # In order of acceptance: the journal holds compacted copies behind messages accepted later.
         for msg in sorted(self.held.values(), key=lambda msg: msg.at):
             self.tell(
-                "take",
+                "accept",
                 msg.name,
                 msg.dst,
                 msg.lane,
-                msg.answer_by,
+                msg.final_answer_due,
                 msg.key,
                 msg.customer,
                 msg.again,
--- a/courseroute/state/figures.py
+++ b/courseroute/state/figures.py
@@ -14,7 +14,7 @@
         self.longest_ms = {LOOP_DELAY: 0.0}  # since the last report
 
     def count(self, kind, value):
-        """Adds one to the total of a kind and value, such as ("closed", CloseCause.NO_ROOM)."""
+        """Adds one to the total of a kind and value, such as ("closed", CloseCause.CAPACITY_EXCEEDED)."""
         self.totals[f"{kind}.{value}"] += 1
 
     def longest(self, name, span_ns):
--- a/courseroute/state/pool.py
+++ b/courseroute/state/pool.py
@@ -2,7 +2,7 @@
 
 from typing import NamedTuple
 
-from courseroute.model.causes import ConnectionEnd
+from courseroute.model.causes import ConnectionCloseCause
 from courseroute.wire.link import QUIET_PERIOD_NS, Link
 from courseroute.wire.unread import peek_unread
 
@@ -21,14 +21,14 @@
 class Pool:
     """Connections to all hosts, at most `max_open` at once.
 
-    An idle connection is closed after `idle_timeout` nanoseconds; `fresh_for()` gives the time after which it
-    must not be used again. `on_closed(link, cause, waiting)` is called for each connection that the pool
-    closes; `waiting` are the bytes found unread on it, if any.
+    An idle connection is closed after `idle_timeout` nanoseconds; `max_idle_time()` gives the time after
+    which it must not be used again. `on_closed(link, cause, waiting)` is called for each connection that the
+    pool closes; `waiting` are the bytes found unread on it, if any.
     """
 
-    def __init__(self, max_open, idle_timeout, clock, fresh_for):
+    def __init__(self, max_open, idle_timeout, clock, max_idle_time):
         self.max_open, self.idle_timeout, self.clock = max_open, idle_timeout, clock
-        self.fresh_for = fresh_for
+        self.max_idle_time = max_idle_time
         self.on_closed = lambda link, cause, waiting=b"": None
         self.open_count = 0  # idle ones and those in use
         self.idle = {}  # host -> its IdleConnections, the newest last
@@ -40,7 +40,7 @@
             oldest = min(((idle[0].since, host) for host, idle in self.idle.items()), default=None)
             if oldest is None:
                 return False
-            self.discard(self.pop_idle(oldest[1], 0).link, ConnectionEnd.ROOM_NEEDED)
+            self.discard(self.pop_idle(oldest[1], 0).link, ConnectionCloseCause.EVICTED)
         self.open_count += 1
         return True
 
@@ -64,8 +64,8 @@
         while (index := self.newest_usable(host)) is not None:
             link, since, _ = self.pop_idle(host, index)
             idle_time = self.clock() - since
-            if idle_time >= min(self.idle_timeout, self.fresh_for()):
-                self.discard(link, ConnectionEnd.IDLE_FOR_LONG)
+            if idle_time >= min(self.idle_timeout, self.max_idle_time()):
+                self.discard(link, ConnectionCloseCause.IDLE_TIMEOUT)
             elif self.discard_unless_quiet(link):
                 return link, idle_time
         return None, None
@@ -93,14 +93,16 @@
         if waiting is None:
             return True
         self.discard(
-            link, ConnectionEnd.BYTES_BEHIND_ANSWER if waiting else ConnectionEnd.ENDED_BY_HOST, waiting
+            link,
+            ConnectionCloseCause.UNEXPECTED_BYTES if waiting else ConnectionCloseCause.ENDED_BY_HOST,
+            waiting,
         )
         return False
 
     def close_idle(self, host):
         """Closes all idle connections to a host."""
         while host in self.idle:
-            self.discard(self.pop_idle(host, 0).link, ConnectionEnd.NOT_TRUSTED)
+            self.discard(self.pop_idle(host, 0).link, ConnectionCloseCause.CONNECTIONS_UNRELIABLE)
 
     def sweep(self):
         """Closes idle connections that timed out, were closed by the host, or have unexpected bytes to
@@ -113,6 +115,6 @@
     def check_idle(self, idle):
         """Whether an idle connection may be kept; otherwise it is closed."""
         if self.clock() - idle.since >= self.idle_timeout:
-            self.discard(idle.link, ConnectionEnd.IDLE_FOR_LONG)
+            self.discard(idle.link, ConnectionCloseCause.IDLE_TIMEOUT)
             return False
         return self.discard_unless_quiet(idle.link)
--- a/courseroute/wire/clients.py
+++ b/courseroute/wire/clients.py
@@ -43,11 +43,12 @@
     `max_served` connections are served, `max_refused` more get a 503 for their request, further ones at once.
     """
 
-    def __init__(self, desk, house, listener, max_served, max_refused, max_partial_bytes, log):
-        self.desk, self.house, self.listener, self.log = desk, house, listener, log
+    def __init__(self, desk, limits, listener, max_served, max_refused, max_partial_bytes, log):
+        self.desk, self.limits, self.listener, self.log = desk, limits, listener, log
         self.max_served, self.max_refused = max_served, max_refused
         self.partial_bytes_left = max_partial_bytes
-        self.read_timeouts = house["read_within"] / 1e9, house["idle"] / 1e9  # in a request, between two
+        # In a request, between two.
+        self.read_timeouts = limits["read_timeout"] / 1e9, limits["idle_timeout"] / 1e9
         self.open = set()
         # Connections waiting for their first request, and those waiting for another one; used as ordered
         # sets.
@@ -78,7 +79,9 @@
         await trio.sleep(ACCEPT_RETRY_S)
 
     async def handle_connection(self, sock):
-        connection = ClientConnection(sock, Door(self.house["head"], self.house["body"]))
+        connection = ClientConnection(
+            sock, Door(self.limits["max_head_bytes"], self.limits["max_body_bytes"])
+        )
         try:
             await self.admit(connection)
         except (OSError, trio.BrokenResourceError, trio.ClosedResourceError):
@@ -160,9 +163,9 @@
         except Refused as cause:
             await self.write(stream, http.answer(cause.status, body=f"{cause}\n".encode(), close=True))
             # Closing a socket with unread bytes resets the connection, and the answer could be lost.
-            with trio.move_on_after(self.house["last_words"] / 1e9):
+            with trio.move_on_after(self.limits["closing_grace"] / 1e9):
                 await stream.send_eof()
-                while await stream.receive_some(self.house["body"]):
+                while await stream.receive_some(self.limits["max_body_bytes"]):
                     pass
         except EOFError:
             pass
@@ -183,7 +186,7 @@
         if not (connection.has_sent_request and http.begun):
             waiting[connection] = True
         with trio.move_on_at(due) as connection.read_scope:
-            data = await connection.stream.receive_some(self.house["body"])
+            data = await connection.stream.receive_some(self.limits["max_body_bytes"])
         waiting.pop(connection, None)
         if data is None:
             if http.begun and not connection.is_closing:
@@ -199,7 +202,7 @@
 
     async def write(self, stream, data):
         """Writes all bytes; EOFError where the client does not take them in time."""
-        with trio.move_on_after(self.house["write_within"] / 1e9) as scope:
+        with trio.move_on_after(self.limits["write_timeout"] / 1e9) as scope:
             await stream.send_all(data)
         if scope.cancelled_caught:
             raise EOFError
--- a/courseroute/wire/discovery.py
+++ b/courseroute/wire/discovery.py
@@ -66,8 +66,8 @@
     `keep(scope, entries, addresses)` is called for each list too, where the relay saves it.
     """
 
-    def __init__(self, nursery, desk, hosts, house, place, watch, clock, log):
-        self.nursery, self.desk, self.hosts, self.house = nursery, desk, hosts, house
+    def __init__(self, nursery, desk, hosts, limits, place, watch, clock, log):
+        self.nursery, self.desk, self.hosts, self.limits = nursery, desk, hosts, limits
         self.place, self.watch, self.clock, self.log = place, watch, clock, log
         self.call = None  # the ListCall under way
         self.idle_connection = None  # that of the last answer, until the next call
@@ -90,7 +90,7 @@
         self.nursery.start_soon(self.make_call, self.call)
 
     def new_connection(self):
-        return Line(self.place, self.house["head"], self.house["list"])
+        return Line(self.place, self.limits["max_head_bytes"], self.limits["max_list_bytes"])
 
     def move(self, place):
         """Sets discovery's address. A call under way is abandoned, and the new address is called at once."""
@@ -116,7 +116,7 @@
         for name, state, *_ in entries:
             if state == "gone":
                 self.hosts.where.pop(name, None)
-        self.desk.tell("roster", scope, entries, as_of)
+        self.desk.tell("update_endpoints", scope, entries, as_of)
         if self.keep:
             self.keep(scope, entries, where)
 
@@ -126,7 +126,7 @@
         try:
             with call.scope:
                 received = await call.connection.exchange(
-                    call.wait + self.house["list_within"],
+                    call.wait + self.limits["list_timeout"],
                     "GET",
                     self.watch.target(call.wait),
                     [("Host", "discovery")],
@@ -156,9 +156,9 @@
         self.log_failure(call, str(cause)[:200] or type(cause).__name__)
         if call.connection.first_byte_at is not None and not isinstance(cause, UnexpectedStatus):
             since_written = int((trio.current_time() - call.connection.first_byte_at) * 1e9)
-            self.desk.tell("roster", "spoilt", [], self.clock() - since_written)
+            self.desk.tell("update_endpoints", "spoilt", [], self.clock() - since_written)
         else:
-            self.desk.tell("roster", "ended" if call.continues else "failed", [])
+            self.desk.tell("update_endpoints", "ended" if call.continues else "failed", [])
 
     def list_state(self):
         """Log fields on how current the list is; its age is the time since discovery's last answer."""
--- a/courseroute/wire/hosts.py
+++ b/courseroute/wire/hosts.py
@@ -5,7 +5,7 @@
 
 import trio
 
-from courseroute.model.causes import ConnectionEnd, HoldCause
+from courseroute.model.causes import ConnectionCloseCause, HoldCause
 from courseroute.wire import words
 from courseroute.wire.http import Refused
 from courseroute.wire.link import (
@@ -27,9 +27,9 @@
     """Runs the attempts. Each ends in one `desk.returned`; it may have run on its host once its last byte was
     written."""
 
-    def __init__(self, nursery, desk, pool, house, terms, clock, log):
-        self.nursery, self.desk, self.pool, self.house, self.clock = nursery, desk, pool, house, clock
-        self.connect_within = terms.get("connect_within", house["write_within"])
+    def __init__(self, nursery, desk, pool, limits, terms, clock, log):
+        self.nursery, self.desk, self.pool, self.limits, self.clock = nursery, desk, pool, limits, clock
+        self.connect_within = terms.get("connect_within", limits["write_timeout"])
         self.log = log
         self.where, self.cancel_scopes = {}, {}  # host -> address; (message's name, n) -> scope
         self.last_delivery = {}  # host -> the Answer to its last delivery that had a body
@@ -132,7 +132,7 @@
         """Counts a closed connection; logs unexpected bytes on it, with the call that preceded them."""
         self.desk.figures.count("host connections closed", cause)
         previous = link.last_exchange
-        if cause is ConnectionEnd.BYTES_BEHIND_ANSWER and previous:
+        if cause is ConnectionCloseCause.UNEXPECTED_BYTES and previous:
             self.log(
                 "bytes behind an answer",
                 host=previous.host,
@@ -180,7 +180,7 @@
         self.nursery.start_soon(self.report_unsent, msg, n, host)
 
     async def report_unsent(self, msg, n, host):
-        await trio.sleep(self.house["notice_pause"] / 1e9)
+        await trio.sleep(self.limits["short_retry_delay"] / 1e9)
         self.desk.returned(msg.name, n, host, "unsent", 0, False, 0, None)
 
 
@@ -191,7 +191,7 @@
     def __init__(self, hosts, msg, n, host, until):
         self.hosts, self.msg, self.n, self.host, self.until = hosts, msg, n, host, until
         self.started_at = hosts.clock()
-        self.repeated = hosts.desk.first_may_have_run(msg.name, n)
+        self.repeated = hosts.desk.earlier_attempt(msg.name, n)
         self.link = None
         self.connected_ns = self.sent_ns = self.answered_ns = None
         self.hold_cause = None  # a HoldCause: why it was not sent
@@ -217,7 +217,7 @@
         self.connected_ns = self.elapsed()
         # Asked after all waits, and nothing is awaited between this and the write: the answer must be
         # current.
-        self.hold_cause = hosts.desk.why_held(self.msg.name, self.n)
+        self.hold_cause = hosts.desk.hold_cause(self.msg.name, self.n)
         if self.hold_cause:
             return
         await self.send()
@@ -256,7 +256,7 @@
     async def receive_conclusive(self):
         call, hosts = self.link.call, self.hosts
         while not call.conclusive:  # an answer that started and then stalls raises TooSlowError
-            with trio.fail_after(hosts.house["drain_answer"] / 1e9 if call.begun else math.inf):
+            with trio.fail_after(hosts.limits["answer_drain_timeout"] / 1e9 if call.begun else math.inf):
                 await self.link.hear()
             if self.answered_ns is None:
                 self.answered_ns = self.elapsed()
@@ -266,7 +266,10 @@
         call = self.link.call
         if self.host not in self.hosts.with_distinct_answers or not call.repeats_previous_head():
             return False
-        with contextlib.suppress(*LOST, Refused), trio.move_on_after(self.hosts.house["drain_answer"] / 1e9):
+        with (
+            contextlib.suppress(*LOST, Refused),
+            trio.move_on_after(self.hosts.limits["answer_drain_timeout"] / 1e9),
+        ):
             await self.link.hear_all()
         return call.repeats_previous_answer()
 
@@ -279,7 +282,7 @@
             return None
         try:
             with trio.fail_after(hosts.connect_within / 1e9):
-                link = Link(hosts.house["head"], hosts.house["body"], keep_body=False)
+                link = Link(hosts.limits["max_head_bytes"], hosts.limits["max_body_bytes"], keep_body=False)
                 await link.dial(place)
                 established = True
         except trio.TooSlowError:
@@ -294,7 +297,7 @@
         if it can be reused."""
         call, now = self.link.call, self.hosts.clock()
         self.link.last_exchange = Exchange(self.host, self.msg.name, call.status, now)
-        with trio.move_on_after(self.hosts.house["drain_answer"] / 1e9):
+        with trio.move_on_after(self.hosts.limits["answer_drain_timeout"] / 1e9):
             await self.link.hear_all()
         self.hosts.compare_with_last_delivery(self.host, call)
         if call.reusable() and not self.duplicates:
@@ -310,13 +313,15 @@
             self.link = None
 
     def close_cause(self, call):
-        """The ConnectionEnd of a connection that is not reused."""
+        """The ConnectionCloseCause of a connection that is not reused."""
         if self.sent_ns is None:
-            return ConnectionEnd.ATTEMPT_HELD
+            return ConnectionCloseCause.ATTEMPT_HELD
         if not call.done:
-            return ConnectionEnd.NO_WHOLE_ANSWER
+            return ConnectionCloseCause.INCOMPLETE_ANSWER
         return (
-            ConnectionEnd.BYTES_BEHIND_ANSWER if call.unexpected_bytes() else ConnectionEnd.ANSWER_SAYS_CLOSE
+            ConnectionCloseCause.UNEXPECTED_BYTES
+            if call.unexpected_bytes()
+            else ConnectionCloseCause.ANSWER_ASKS_CLOSE
         )
 
 
--- a/courseroute/wire/notices.py
+++ b/courseroute/wire/notices.py
@@ -61,10 +61,12 @@
     """The pending notices. Each accepted one is reported in one `desk.told_of`; at most MAX_CONNECTIONS calls
     are out at once."""
 
-    def __init__(self, desk, house, place, log):
-        self.desk, self.house, self.log = desk, house, log
+    def __init__(self, desk, limits, place, log):
+        self.desk, self.limits, self.log = desk, limits, log
         # Connections without a call, the most recently used at the end.
-        self.free = [Line(place, house["head"], house["body"]) for _ in range(MAX_CONNECTIONS)]
+        self.free = [
+            Line(place, limits["max_head_bytes"], limits["max_body_bytes"]) for _ in range(MAX_CONNECTIONS)
+        ]
         self.connections = tuple(self.free)
         self.calls = []  # under way, the oldest first
         self.pending = {}  # message's name -> PendingNotice, the oldest first
@@ -124,7 +126,7 @@
         names, size = [], 0
         for name, notice in ordered:
             size += len(notice.line)
-            if size > self.house["body"]:
+            if size > self.limits["max_body_bytes"]:
                 break
             names.append(name)
         return names
@@ -169,7 +171,7 @@
                 del self.pending[name]
             self.desk.told_of(pending)
         else:
-            self.retry_within(pending, at_most=self.house["notice_pause"] / 1e9)
+            self.retry_within(pending, at_most=self.limits["short_retry_delay"] / 1e9)
         if status not in (None, 204):
             self.log("notices not taken", status=status, count=len(names))
         self.changed.set()
@@ -185,7 +187,7 @@
         started_at, status = trio.current_time(), None
         try:
             answered, _ = await connection.exchange(
-                self.house["notice_within"], "POST", "/v1/notices", [("Host", "platform")], body
+                self.limits["notice_timeout"], "POST", "/v1/notices", [("Host", "platform")], body
             )
             self.defer(names)
             if await connection.is_answer_certain():
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -49,23 +49,23 @@
         self.now, self.n, self.seen = 1000 * S, 0, []
         self.relay = Dispatcher(7, settings | changes)
         self.tell("start")
-        self.tell("roster", "full", [(name, "ready", "z", rate, kind, "d") for name, rate in hosts])
+        self.tell("update_endpoints", "full", [(name, "ready", "z", rate, kind, "d") for name, rate in hosts])
 
     def tell(self, method, *arguments):
         """Calls a method of the Dispatcher; returns the actions apart from wake-ups and log events."""
-        actions = getattr(self.relay, method)(self.now, *arguments) + self.relay.settle(self.now)
+        actions = getattr(self.relay, method)(self.now, *arguments) + self.relay.end_batch(self.now)
         self.seen += [(self.now, *action) for action in actions]
         return [action for action in actions if action[0] not in ("wake", "log")]
 
     def take(self, lane="retriable", key=None, left=16 * S, dst="d"):
         """Submits a message; returns its id and the actions."""
         self.n += 1
-        return f"m{self.n}", self.tell("take", f"m{self.n}", dst, lane, self.now + left, key, None, False)
+        return f"m{self.n}", self.tell("accept", f"m{self.n}", dst, lane, self.now + left, key, None, False)
 
     def back(self, name, ending, n=0, host="a", wait=0, over=None, took=100 * MS, report=None):
         """Reports the outcome of attempt `n` of a message; returns the actions."""
         over = ending == "delivered" if over is None else over
-        return self.tell("outcome", name, n, host, ending, took, wait, report, over)
+        return self.tell("attempt_ended", name, n, host, ending, took, wait, report, over)
 
     def run(self, span, step=5 * MS):
         """Advances the time by `span` with a wake-up at each step; returns the actions."""
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -6,7 +6,7 @@
 
 import trio
 
-from courseroute.decide import HOUSE
+from courseroute.decide import RELAY_LIMITS
 from courseroute.state.figures import Figures
 from courseroute.state.pool import Pool
 from courseroute.wire.hosts import Hosts
@@ -27,13 +27,13 @@
     async def settled(self):
         await self.during_sync()
 
-    def why_held(self, name, n):
+    def hold_cause(self, name, n):
         return None
 
     def send_by(self, name, n):
         return None
 
-    def first_may_have_run(self, name, n):
+    def earlier_attempt(self, name, n):
         return None
 
     def returned(self, name, n, host, ending, *told):
@@ -61,10 +61,17 @@
             place = ("127.0.0.1", listeners[0].socket.getsockname()[1])
             pool = Pool(8, SECOND_NS * 9, time.monotonic_ns, lambda: SECOND_NS * 9)
             desk = Desk(close_kept)
-            hosts = Hosts(nursery, desk, pool, HOUSE, {}, time.monotonic_ns, lambda *told, **more: None)
+            hosts = Hosts(
+                nursery, desk, pool, RELAY_LIMITS, {}, time.monotonic_ns, lambda *told, **more: None
+            )
             hosts.where["h"] = place
             assert pool.reserve()
-            pool.add_idle("h", await Link(HOUSE["head"], HOUSE["body"], keep_body=False).dial(place))
+            pool.add_idle(
+                "h",
+                await Link(
+                    RELAY_LIMITS["max_head_bytes"], RELAY_LIMITS["max_body_bytes"], keep_body=False
+                ).dial(place),
+            )
             while not accepted:
                 await trio.sleep(0.01)
             message = SimpleNamespace(name="a", body=b"x", idempotency_key="")
@@ -79,11 +86,13 @@
 # Guards against a message counting as delivered by a duplicate answer, the first one on its connection.
 def test_a_hosts_answers_are_distinct_once_two_deliveries_differ_on_any_connections():
     pool = Pool(8, SECOND_NS, time.monotonic_ns, lambda: SECOND_NS)
-    hosts = Hosts(None, None, pool, HOUSE, {}, time.monotonic_ns, None)
+    hosts = Hosts(None, None, pool, RELAY_LIMITS, {}, time.monotonic_ns, None)
     hosts.where = {"differs": None, "alike": None}
     answers = ("differs", b"1"), ("alike", b"1"), ("gone", b"1"), ("differs", b"2"), ("alike", b"1")
     for host, body in answers:
-        call = HttpClientState(HOUSE["head"], HOUSE["body"], keep_body=False)
+        call = HttpClientState(
+            RELAY_LIMITS["max_head_bytes"], RELAY_LIMITS["max_body_bytes"], keep_body=False
+        )
         call.begin("POST", "/", [("Host", "h")])
         call.feed(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n" + body)
         hosts.compare_with_last_delivery(host, call)
--- a/tests/test_decide.py
+++ b/tests/test_decide.py
@@ -5,7 +5,7 @@
 from helpers import MS, Relay, S, named
 
 from courseroute.decide import EVIDENCE_THRESHOLD, EXIT_AFTER, HEADROOM_CUT
-from courseroute.decisions.final_answer import answer_by
+from courseroute.decisions.final_answer import final_answer_due
 from courseroute.model.causes import HoldCause
 from courseroute.model.types import Attempt
 
@@ -136,7 +136,7 @@
 def test_a_restored_message_continues_as_its_attempts_allow(lane, attempts, done):
     relay = Relay()
     attempts = [("long gone", relay.now - ago * S, ending) for ago, ending in attempts]
-    actions = relay.tell("take", "old", "d", lane, relay.now + 6 * S, None, None, False, attempts)
+    actions = relay.tell("accept", "old", "d", lane, relay.now + 6 * S, None, None, False, attempts)
     assert [act[0] for act in actions] == ([done] if done else [])
     ends = [act[0] for act in actions + relay.run(7 * S) if act[0] in ("fail", "push back")]
     assert len(ends) == 1
@@ -145,7 +145,7 @@
 def test_a_key_rests_after_a_restart_and_its_messages_keep_their_order():
     relay = Relay()
     for name, attempts in (("m1", [("a", relay.now, None)]), ("m2", [])):
-        assert not relay.tell("take", name, "d", "ordered", relay.now + 9 * S, "k", None, False, attempts)
+        assert not relay.tell("accept", name, "d", "ordered", relay.now + 9 * S, "k", None, False, attempts)
     assert not relay.run(S - 10 * MS)
     assert [act[1] for act in named(relay.run(20 * MS), "send")] == ["m1"]
     relay.back("m1", "delivered", n=1)
@@ -169,8 +169,8 @@
 
 
 @pytest.mark.parametrize("what, told, may", [
-    (None, (), True), ("roster", ("changes", [("a", "draining", "z", 4.0, "plain", "d")]), False),
-    ("outcome", ("m2", 0, "a", "full", 0, S, None, False), False), ("withdraw", ("m1",), False),
+    (None, (), True), ("update_endpoints", ("changes", [("a", "draining", "z", 4.0, "plain", "d")]), False),
+    ("attempt_ended", ("m2", 0, "a", "full", 0, S, None, False), False), ("withdraw", ("m1",), False),
 ])
 def test_a_call_whose_connection_came_up_late_leaves_only_if_it_still_may(what, told, may):
     relay = Relay()
@@ -178,7 +178,7 @@
     relay.take()
     if what:
         relay.tell(what, *told)
-    assert (relay.relay.why_held(relay.now, "m1", 0) is None) == may
+    assert (relay.relay.hold_cause(relay.now, "m1", 0) is None) == may
 
 
 # Guards against a keyed request being sent again outside its window because its connection came up late.
@@ -192,7 +192,7 @@
     name, _ = relay.take(lane, key="k")
     begun = relay.now
     assert named(relay.back(name, before), "send")
-    assert relay.relay.why_held(begun + late, name, 1) == held
+    assert relay.relay.hold_cause(begun + late, name, 1) == held
     send_by = relay.relay.send_by(name, 1)
     bound = before == "reset" and lane in ("keyed", "zoned")
     assert send_by is not None and send_by <= begun + 4 * S - 150 * MS if bound else send_by is None
@@ -209,7 +209,7 @@
 
 def test_keyed_by_zone_stays_in_its_zone():
     relay = Relay(hosts=[("a", 9.0)])
-    relay.tell("roster", "changes", [("b", "ready", "other", 9.0, "plain", "d")])
+    relay.tell("update_endpoints", "changes", [("b", "ready", "other", 9.0, "plain", "d")])
     name, actions = relay.take("zoned")
     first = actions[0][2]
     actions = relay.back(name, "error", host=first) + relay.run(3 * S)
@@ -243,7 +243,7 @@
         relay.relay.handle_refusal(relay.now, relay.relay.hosts[host].route, 500 * MS)
     for _ in range(6):
         relay.take()
-    relay.tell("roster", "changes", [("a", state, "z", 2.0, "apart", "d")])
+    relay.tell("update_endpoints", "changes", [("a", state, "z", 2.0, "apart", "d")])
     sent = len(relay.sends())
     relay.run(6 * S)
     assert {act[3] for act in relay.sends()[sent:]} == {"b"}
@@ -251,10 +251,10 @@
 
 def test_a_list_that_lost_a_host_strands_messages_until_one_comes():
     relay = Relay()
-    relay.tell("roster", "full", [])
+    relay.tell("update_endpoints", "full", [])
     _, actions = relay.take()
     assert not actions
-    assert named(relay.tell("roster", "changes", [("c", "ready", "z", 4.0, "plain", "d")]), "send")
+    assert named(relay.tell("update_endpoints", "changes", [("c", "ready", "z", 4.0, "plain", "d")]), "send")
 
 
 def test_ejected_host_gets_one_probe_and_then_a_slow_start():
@@ -331,7 +331,7 @@
 
 def test_a_hanging_destination_keeps_slots_for_the_others():
     relay = Relay(slots=8)
-    relay.tell("roster", "changes", [("o", "ready", "z", 4.0, "plain", "other")])
+    relay.tell("update_endpoints", "changes", [("o", "ready", "z", 4.0, "plain", "other")])
     for _ in range(20):
         relay.take()
     assert relay.relay.active_calls <= 4
@@ -374,7 +374,7 @@
     relay = refused_relay(room=10, hosts=[("a", 1.0)])
     actions = [act for _ in range(15) for act in relay.take()[1]]
     assert len(named(actions, "push back")) == 15 - 4
-    relay.tell("roster", "changes", [("o", "ready", "z", 4.0, "plain", "other")])
+    relay.tell("update_endpoints", "changes", [("o", "ready", "z", 4.0, "plain", "other")])
     assert named(relay.take(dst="other")[1], "send")
 
 
@@ -389,7 +389,7 @@
     relay = Relay(ask=True, ask_within=10 * S)
     asked = []
     for _ in range(failures):
-        relay.tell("roster", "failed", [])
+        relay.tell("update_endpoints", "failed", [])
         asked = named(relay.run(4 * S, 50 * MS), "watch")
         assert 1 <= len(asked) <= 4
 
@@ -428,9 +428,9 @@
     relay = refused_relay(hosts=[("a", 2.0)], customers={"c": 2.0, "d": 2.0})
     actions = []
     for n in range(14):
-        actions += relay.tell("take", f"c{n}", "d", "retriable", relay.now + 16 * S, None, "c", False)
+        actions += relay.tell("accept", f"c{n}", "d", "retriable", relay.now + 16 * S, None, "c", False)
     assert {act[1] for act in named(actions, "push back")} == {"c12", "c13"}
-    assert not relay.tell("take", "d0", "d", "retriable", relay.now + 16 * S, None, "d", False)
+    assert not relay.tell("accept", "d0", "d", "retriable", relay.now + 16 * S, None, "d", False)
 
 
 @pytest.mark.parametrize("own, first", [("z", "a"), ("y", "b")])
@@ -438,7 +438,7 @@
     relay = Relay(hosts=[], area=own)
     entries = [(n, "ready", n == "b" and "y" or "z", 9.0, "apart", "d") for n in "ab"]
     entries += [("c", "ready", "z", 9.0, "plain", "c"), ("e", "ready", "y", 9.0, "plain", "e")]
-    relay.tell("roster", "full", entries)
+    relay.tell("update_endpoints", "full", entries)
     for host, took in (("c", 200 * MS), ("e", 400 * MS)):
         relay.back(relay.take(dst=host)[0], "delivered", host=host, took=took)
     relay.relay.to_rank["d"] = relay.relay.destinations["d"]
@@ -482,7 +482,7 @@
         dst = "d" if i % 3 else f"d{i}"
         old = [(f"h{i - 2}", "gone", "z", None, kind, "d" if (i - 2) % 3 else f"d{i - 2}")]
         now = [(f"h{j}", "ready", "z", None, kind, "d" if j % 3 else f"d{j}") for j in (i - 1, i)]
-        relay.tell("roster", scope, now if scope == "full" else old + now)
+        relay.tell("update_endpoints", scope, now if scope == "full" else old + now)
         for n, ending in enumerate(("delivered", "full", "reset", "delivered")):
             message, actions = relay.take("ordered", key=f"k{i}-{n}", dst=dst)
             for act in named(actions, "send"):
@@ -512,18 +512,18 @@
     last = Relay(hosts=[("a", None)])
     name, _ = last.take()
     last.back(name, ending, wait=wait, report={"left": 0.0, "limit": 4.0})
-    told = json.loads(json.dumps(last.relay.memory(last.now)))
+    told = json.loads(json.dumps(last.relay.learned_state(last.now)))
     fresh = Relay(hosts=[("a", None), ("b", None)], slots=40)
     fresh.now = last.now + S // 2
-    fresh.tell("roster", "saved", [("a", "ready", "z", None, "plain", "d"),
+    fresh.tell("update_endpoints", "saved", [("a", "ready", "z", None, "plain", "d"),
                                    ("b", "gone", "z", None, "plain", "d")])
-    fresh.tell("recall", told, fresh.now)
+    fresh.tell("restore_learned_state", told, fresh.now)
     for _ in range(20):
         fresh.take()
     fresh.run(S)
     assert calls[0] <= len(fresh.sends()) <= calls[1]
-    assert not last.relay.recall(last.now, [["left long ago", [], []]], 5)
-    assert not Relay().relay.memory(last.now)
+    assert not last.relay.restore_learned_state(last.now, [["left long ago", [], []]], 5)
+    assert not Relay().relay.learned_state(last.now)
 
 
 @pytest.mark.parametrize("ending, many, aside", [
@@ -544,12 +544,12 @@
     def calls(many, lasts):
         tried.clear()
         for i in range(many):
-            idle = ages[i % 4] if ages[i % 4] < relay.relay.fresh_for(relay.now) else None
+            idle = ages[i % 4] if ages[i % 4] < relay.relay.max_idle_time(relay.now) else None
             tried.append(idle)
             name, _ = relay.take()
             told = "stale" if idle and idle > lasts else "reset" if i % 13 == 0 else "delivered"
-            relay.tell("outcome", name, 0, "a", told, 50 * MS, 0, None, True, idle)
-        return relay.relay.fresh_for(relay.now)
+            relay.tell("attempt_ended", name, 0, "a", told, 50 * MS, 0, None, True, idle)
+        return relay.relay.max_idle_time(relay.now)
     assert calls(400, S) > 10 * S and None not in tried
     calls(1000, 100 * MS)
     assert 40 > sum(idle is not None and idle > 100 * MS for idle in tried)
@@ -618,7 +618,7 @@
     route, wait = relay.relay.hosts["a"].route, relay.now + 2 * S
     told = [["a", [0.0, None, 5 * S, relay.now, relay.now + S, True, relay.now],
              [0.5, 3.0, None, relay.now, relay.now, relay.now, False, wait, 2.0]]]
-    relay.tell("recall", told, relay.now - age)
+    relay.tell("restore_learned_state", told, relay.now - age)
     assert route.headroom == pytest.approx(headroom) and route.wait_until == wait
     assert (route.refused_at is not None, relay.relay.hosts["a"].probing) == (bound, aside)
 
@@ -629,4 +629,4 @@
     (200 * MS, 16 * S, 350 * MS), (200 * MS, 800 * MS, 100 * MS), (800 * MS, 800 * MS, 200 * MS),
     (200 * MS, None, 350 * MS), (-5 * MS, 16 * S, 350 * MS)])
 def test_the_reserve_for_a_final_answer_goes_by_the_time_that_a_message_has(left, lane_time, reserve):
-    assert answer_by(7 * S, 7 * S + left, lane_time) == 7 * S + left - reserve
+    assert final_answer_due(7 * S, 7 * S + left, lane_time) == 7 * S + left - reserve
--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -9,9 +9,13 @@
 from courseroute.model.causes import HoldCause
 
 MS = S // 1000
-TOLD_WITHIN, GRACE = 6 * S, 1 * S
-MOVED_TOLD_WITHIN = 4 * S
-TERMS = {"told_within": TOLD_WITHIN, "moved_told_within": MOVED_TOLD_WITHIN, "drain_grace": GRACE}
+NOTIFIED_WITHIN, GRACE = 6 * S, 1 * S
+MOVED_NOTIFIED_WITHIN = 4 * S
+TERMS = {
+    "notified_within": NOTIFIED_WITHIN,
+    "moved_notified_within": MOVED_NOTIFIED_WITHIN,
+    "drain_grace": GRACE,
+}
 WATCH_WAIT = 1 * S
 
 
@@ -36,18 +40,18 @@
 @pytest.mark.parametrize("turned_away", [False, True])
 def test_behind_a_silent_watch_three_calls_fit_in_before_the_list_may_not_be_used(ask_within, turned_away):
     relay = polling_relay(ask_within=ask_within)
-    relay.tell("roster", "changes", [])
+    relay.tell("update_endpoints", "changes", [])
     calls = calls_for_list(
         relay,
-        TOLD_WITHIN + GRACE - 200 * MS,
-        lambda n: turned_away and relay.tell("roster", "failed", []),
+        NOTIFIED_WITHIN + GRACE - 200 * MS,
+        lambda n: turned_away and relay.tell("update_endpoints", "failed", []),
     )
     assert 3 <= len(calls) <= 7
 
 
 def test_an_answered_call_is_followed_by_one_that_waits_for_news():
     relay = polling_relay()
-    assert named(relay.tell("roster", "changes", []), "watch") == [("watch", WATCH_WAIT)]
+    assert named(relay.tell("update_endpoints", "changes", []), "watch") == [("watch", WATCH_WAIT)]
 
 
 # Guards against calls in a loop: one that need not wait is answered at once, and the next one has to wait.
@@ -56,7 +60,7 @@
     relay.run(5 * S)
     waits = []
     for _ in range(20):
-        wait = named(relay.tell("roster", "changes", [], relay.now), "watch")[0][1]
+        wait = named(relay.tell("update_endpoints", "changes", [], relay.now), "watch")[0][1]
         waits.append(wait)
         assert not named(relay.run(wait), "watch")
     assert set(waits) == {WATCH_WAIT}
@@ -65,9 +69,9 @@
 @pytest.mark.parametrize("failures, least, most", [(1, 0, 1 * S), (12, 1 * S, 4 * S)])
 def test_a_discovery_that_fails_for_long_is_called_ever_less_often(failures, least, most):
     relay = polling_relay()
-    relay.tell("roster", "changes", [])
+    relay.tell("update_endpoints", "changes", [])
     for _ in range(failures):
-        relay.tell("roster", "failed", [])
+        relay.tell("update_endpoints", "failed", [])
         before = relay.now
         while not named(relay.run(10 * MS), "watch"):
             pass
@@ -90,11 +94,11 @@
 def test_nothing_is_sent_by_a_list_that_may_be_out_of_date_until_it_is_confirmed(turned_away):
     relay = polling_relay()
     if turned_away:
-        relay.tell("roster", "failed", [])
-    sends = sends_of(relay, TOLD_WITHIN + GRACE + 500 * MS)
-    assert TOLD_WITHIN < max(sends) < TOLD_WITHIN + GRACE - 150 * MS
+        relay.tell("update_endpoints", "failed", [])
+    sends = sends_of(relay, NOTIFIED_WITHIN + GRACE + 500 * MS)
+    assert NOTIFIED_WITHIN < max(sends) < NOTIFIED_WITHIN + GRACE - 150 * MS
     relay.take()
-    acts = relay.tell("roster", "changes", [("a", "ready", "z", 4.0, "plain", "d")])
+    acts = relay.tell("update_endpoints", "changes", [("a", "ready", "z", 4.0, "plain", "d")])
     assert named(acts, "send")
 
 
@@ -102,16 +106,16 @@
     relay = polling_relay()
     relay.run(6 * S)
     name, acts = relay.take()
-    assert named(acts, "send") and relay.relay.why_held(relay.now, name, 0) is None
+    assert named(acts, "send") and relay.relay.hold_cause(relay.now, name, 0) is None
     relay.run(1 * S)
-    assert relay.relay.why_held(relay.now, name, 0) is HoldCause.LIST_TOO_OLD
+    assert relay.relay.hold_cause(relay.now, name, 0) is HoldCause.LIST_TOO_OLD
 
 
 # Guards against a discovery that is down stopping all service: its last list is used again.
 def test_a_discovery_that_fails_for_long_counts_as_down_and_its_list_is_used_again():
     relay = polling_relay()
-    relay.tell("roster", "failed", [])
-    relay.run(TOLD_WITHIN + GRACE)
+    relay.tell("update_endpoints", "failed", [])
+    relay.run(NOTIFIED_WITHIN + GRACE)
     name, acts = relay.take()
     assert not named(acts, "send")
     assert [act[1] for act in named(relay.run(2 * S), "send")] == [name]
@@ -127,10 +131,10 @@
 # Guards against an outage of discovery that it told of stopping service for a time.
 def test_the_list_of_a_discovery_that_went_down_is_used_until_it_answers_again():
     relay = polling_relay()
-    relay.tell("roster", "ended", [])
+    relay.tell("update_endpoints", "ended", [])
     assert sends_of(relay, 20 * S)[-1] > 19 * S
-    relay.tell("roster", "changes", [])
-    assert sends_of(relay, 8 * S)[-1] < TOLD_WITHIN + GRACE
+    relay.tell("update_endpoints", "changes", [])
+    assert sends_of(relay, 8 * S)[-1] < NOTIFIED_WITHIN + GRACE
 
 
 # Guards against requests to a draining server behind a SIGHUP that moves discovery, where the new one fails.
@@ -138,9 +142,9 @@
 def test_behind_a_move_of_discovery_the_old_list_is_used_for_as_long_as_it_is_good(went_down):
     relay = polling_relay()
     if went_down:
-        relay.tell("roster", "ended", [])
+        relay.tell("update_endpoints", "ended", [])
     assert named(relay.tell("discovery_moved"), "watch") == [("watch", 0)]
-    relay.tell("roster", "failed", [])
+    relay.tell("update_endpoints", "failed", [])
     relay.tell("discovery_moved")
-    sends = sends_of(relay, MOVED_TOLD_WITHIN + GRACE + 1 * S)
-    assert MOVED_TOLD_WITHIN < sends[-1] < MOVED_TOLD_WITHIN + GRACE - 100 * MS
+    sends = sends_of(relay, MOVED_NOTIFIED_WITHIN + GRACE + 1 * S)
+    assert MOVED_NOTIFIED_WITHIN < sends[-1] < MOVED_NOTIFIED_WITHIN + GRACE - 100 * MS
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -8,12 +8,12 @@
 import trio
 from helpers import MS, S
 
-from courseroute.decide import HOUSE
+from courseroute.decide import RELAY_LIMITS
 from courseroute.journal.disk import Disk
 from courseroute.journal.faulty import FaultyDisk
 from courseroute.journal.frames import OWED
 from courseroute.journal.store import Journal
-from courseroute.model.causes import CloseCause, ConnectionEnd
+from courseroute.model.causes import CloseCause, ConnectionCloseCause
 from courseroute.state.desk import END_RECORD_BYTES, Desk
 from courseroute.state.figures import Figures
 from courseroute.state.pool import Pool
@@ -83,8 +83,8 @@
         pool.add_idle("h", connection)
         disturb(connection.peer)
         pool.sweep()
-    behind = ConnectionEnd.BYTES_BEHIND_ANSWER, b"HTTP/1.1 503"
-    assert closed == [behind, (ConnectionEnd.ENDED_BY_HOST, b"")]
+    behind = ConnectionCloseCause.UNEXPECTED_BYTES, b"HTTP/1.1 503"
+    assert closed == [behind, (ConnectionCloseCause.ENDED_BY_HOST, b"")]
 
 
 def test_the_pool_is_bounded_and_evicts_idle_connections():
@@ -113,29 +113,29 @@
     def __init__(self):
         self.told = []
 
-    def take(self, now, *told):
+    def accept(self, now, *told):
         self.told.append(told)
         return []
 
-    def settle(self, now):
+    def end_batch(self, now):
         return []
 
 
 class FaultyDispatcher(PassiveDispatcher):
     """Raises, and returns an action that does not exist."""
 
-    def take(self, now, *told):
+    def accept(self, now, *told):
         raise ValueError("odd")
 
-    def settle(self, now):
+    def end_batch(self, now):
         return [("no such action",)]
 
 
 def desk_of(folder, dispatcher, logged=None):
     log = Journal(Disk(folder), 1_000_000)
     say = (lambda event, **told: logged.append(event)) if logged is not None else (lambda event, **told: None)
-    desk = Desk(dispatcher, {"lanes": {"notice": {}}}, HOUSE, log, 10**8, lambda: 5 * MS, say)
-    desk.notices, desk.ready = Notices(desk, HOUSE, None, say), True
+    desk = Desk(dispatcher, {"lanes": {"notice": {}}}, RELAY_LIMITS, log, 10**8, lambda: 5 * MS, say)
+    desk.notices, desk.ready = Notices(desk, RELAY_LIMITS, None, say), True
     desk.recover()
     return desk
 
@@ -153,7 +153,7 @@
     desk = desk_of(tmp_path, FaultyDispatcher(), logged)
     desk.alarm = wakes.append
     assert desk.take(FIELDS, False) == (202, 0)
-    assert logged == ["fault"] * 2 and wakes == [HOUSE["sweep"]]
+    assert logged == ["fault"] * 2 and wakes == [RELAY_LIMITS["sweep_interval"]]
 
 
 @pytest.mark.parametrize("compact_at", ["taken", "ended", "killed", "told", None])
@@ -197,8 +197,10 @@
 def desk_on(disk, now):
     """A coordinator whose clock reads now[0], on a disk that can be made to fail."""
     journal, say = Journal(disk, 1_000_000), (lambda event, **told: None)
-    desk = Desk(PassiveDispatcher(), {"lanes": {"notice": {}}}, HOUSE, journal, 10**8, lambda: now[0], say)
-    desk.notices, desk.ready = Notices(desk, HOUSE, None, None), True
+    desk = Desk(
+        PassiveDispatcher(), {"lanes": {"notice": {}}}, RELAY_LIMITS, journal, 10**8, lambda: now[0], say
+    )
+    desk.notices, desk.ready = Notices(desk, RELAY_LIMITS, None, None), True
     desk.recover()
     return desk
 
@@ -209,7 +211,7 @@
     disk, now = FaultyDisk(), [5 * MS]
     desk = desk_on(disk, now)
     for name in "ab":
-        left = S * (1 + (name == "b")) + HOUSE["sweep"]
+        left = S * (1 + (name == "b")) + RELAY_LIMITS["sweep_interval"]
         assert desk.take(FIELDS | {"name": name, "left": left}, False) == (202, 0)
     disk.room = disk.used()
     desk.end("a", "returned", 0, CloseCause.DEADLINE)
@@ -244,7 +246,7 @@
     desk = desk_on(disk, now)
     assert desk.take(FIELDS | {"left": 4 * S}, False) == (202, 0)
     disk.room = disk.used()
-    now[0] = desk.held["a"].answer_by - 10 * MS
+    now[0] = desk.held["a"].final_answer_due - 10 * MS
     desk.end("a", "returned", 0, CloseCause.DEADLINE)
     assert list(desk.notices.pending) == ["a"] and desk.unwritten
 
@@ -261,7 +263,7 @@
 
     async def play():
         ours, theirs = trio.socket.socketpair()
-        clients = Clients(Answers(), HOUSE, None, 9, 1, 9999, lambda *told, **more: None)
+        clients = Clients(Answers(), RELAY_LIMITS, None, 9, 1, 9999, lambda *told, **more: None)
         read = trio.SocketStream.receive_some
 
         async def receive(stream, size):
@@ -330,7 +332,7 @@
 
 def notices_to_refusing_platform(desk):
     """Notices whose platform refuses connections."""
-    return Notices(desk, HOUSE, ("127.0.0.1", 1), lambda event, **told: None)
+    return Notices(desk, RELAY_LIMITS, ("127.0.0.1", 1), lambda event, **told: None)
 
 
 # Guards against a crash of the relay when another call delivers a notice before a call's own task starts.
@@ -383,7 +385,9 @@
         await theirs.send(b"GET /ready HTTP/1.1\r\nHost: r\r\nConnection: close\r\n\r\n")
         no_descriptors = OSError(errno.ENFILE, "Too many open files in system")
         listener = Listener(no_descriptors, no_descriptors, ours, trio.ClosedResourceError())
-        clients = Clients(Answers(), HOUSE, listener, 9, 1, 9999, lambda event, **told: logged.append(event))
+        clients = Clients(
+            Answers(), RELAY_LIMITS, listener, 9, 1, 9999, lambda event, **told: logged.append(event)
+        )
         with trio.fail_after(0.4):
             await clients.serve()
         assert (await theirs.recv(99)).startswith(b"HTTP/1.1 200 ")
