--- a/benchmarks/journal.py
+++ b/benchmarks/journal.py
@@ -3,7 +3,7 @@
     python benchmarks/journal.py [--live-mb 1 --live-mb 10] [--messages 20000] [--repeats 5]
 
 So many MB of messages are held for good while others are taken on, called and end, with the writes of each
-version's desk. A stall is the time of one message's writes, or of one slice of compaction.
+version's tracker. A stall is the time of one message's writes, or of one slice of compaction.
 """
 
 import json
@@ -46,7 +46,7 @@
         return len(self.log.read())
 
     def call(self, parts, call):
-        """As the desk of that version did: two writes."""
+        """As the tracker of that version did: two writes."""
         self.log.write(*parts)
         parts.append(call)
         self.log.write(call)
@@ -74,7 +74,7 @@
         return sum(1 for _ in self.log.read())
 
     def call(self, parts, call):
-        """As the desk does where a slot is free: one write."""
+        """As the tracker does where a slot is free: one write."""
         parts.append(call)
         self.log.write(*parts)
 
--- a/benchmarks/syncs.py
+++ b/benchmarks/syncs.py
@@ -31,9 +31,9 @@
             async with limit:
                 taken = [f"m{i}", "7", "a", 1, "", None, "", False, i]
                 journal.write(frames.record(frames.TAKEN, taken, b"x" * 1500))
-                await syncer.settled()
+                await syncer.wait_synced()
                 journal.write(frames.record(frames.CALL, [f"m{i}", 0, "h", 1, None]))
-                await syncer.settled()
+                await syncer.wait_synced()
                 journal.write(journal.over(f"m{i}", "delivered"))
 
         begun = time.perf_counter()
--- a/courseroute/journal/learned.py
+++ b/courseroute/journal/learned.py
@@ -21,9 +21,9 @@
 class Learned:
     """Saves and loads the learned state of one relay."""
 
-    def __init__(self, folder, say, most=MAX_BYTES, syncs=True, disk=None):
+    def __init__(self, folder, log_event, most=MAX_BYTES, syncs=True, disk=None):
         """`most`: maximum size of the state in bytes; a larger state is not saved."""
-        self.disk, self.say, self.most, self.syncs = disk or Disk(folder), say, most, syncs
+        self.disk, self.log_event, self.most, self.syncs = disk or Disk(folder), log_event, most, syncs
         self.saved = b"[]"
 
     def keep(self, state, now):
@@ -67,7 +67,7 @@
             self.saved = text
             return state, int(head["at"])
         except (ValueError, KeyError, TypeError) as cause:
-            self.say("learned state not read, set aside", error=str(cause)[:200])
+            self.log_event("learned state not read, set aside", error=str(cause)[:200])
             with contextlib.suppress(OSError):
                 self.disk.rename(NAME, BAD)
             return [], 0
--- a/courseroute/journal/replay.py
+++ b/courseroute/journal/replay.py
@@ -1,6 +1,6 @@
 """Rebuilds state from journal records: open messages, pending notices and recently closed messages. No I/O.
 
-Used by the desk at startup and by the tools, so that both interpret a folder the same way.
+Used by the tracker at startup and by the tools, so that both interpret a folder the same way.
 """
 
 from collections import OrderedDict
--- a/courseroute/journal/store.py
+++ b/courseroute/journal/store.py
@@ -4,7 +4,7 @@
 closed message: a record is written completely before the event it describes takes effect; the live records
 of a segment are copied to the newest segment (and synced, if syncing is enabled) before the segment is
 removed; a closing record lists the segments that still hold records of the message, and compaction keeps
-copying it while one of those segments exists. Called by `state.desk`, which supplies the live records of a
+copying it while one of those segments exists. Called by `state.tracker`, which supplies the live records of a
 message (`refresh`), and by `run.relay`, which runs compaction (`step`).
 """
 import random
--- a/courseroute/journal/syncer.py
+++ b/courseroute/journal/syncer.py
@@ -4,14 +4,14 @@
 
 
 class Syncer:
-    """`mode`: "off"; "interval": a sync every `every` nanoseconds; "each": `settled` waits until everything
-    written so far is synced."""
+    """`mode`: "off"; "interval": a sync every `every` nanoseconds; "each": `wait_synced` waits until
+    everything written so far is synced."""
 
-    def __init__(self, journal, mode, every, say):
-        self.journal, self.mode, self.interval_s, self.say = journal, mode, every / 1e9, say
+    def __init__(self, journal, mode, every, log_event):
+        self.journal, self.mode, self.interval_s, self.log_event = journal, mode, every / 1e9, log_event
         self.synced_bytes, self.progress, self.requested, self.failing = 0, trio.Event(), trio.Event(), False
 
-    async def settled(self):
+    async def wait_synced(self):
         """Returns when all bytes written before the call are synced; in other modes than "each", at once."""
         if self.mode != "each":
             return
@@ -44,7 +44,7 @@
         except OSError as cause:
             if not self.failing:
                 self.failing = True
-                self.say("journal cannot be synced", error=str(cause)[:200])
+                self.log_event("journal cannot be synced", error=str(cause)[:200])
             journal.has_unsynced = True
             self.requested.set()
             await trio.sleep(self.interval_s)
--- a/courseroute/journal/torture.py
+++ b/courseroute/journal/torture.py
@@ -22,7 +22,7 @@
 from courseroute.journal.learned import Learned
 from courseroute.journal.store import Journal
 from courseroute.model.causes import CloseCause
-from courseroute.state.desk import Desk
+from courseroute.state.tracker import MessageTracker
 
 MAX_JOURNAL_BYTES = 60_000
 CLOCK_STEP_NS = 300_000     # advance per clock reading: a compaction slice copies a few records
@@ -37,7 +37,7 @@
     def __init__(self):
         self.taken = {}
 
-    def accept(self, now, name, dst, lane, deadline, key=None, customer=None, again=False, attempts=()):
+    def accept(self, now, name, dst, lane, deadline, key=None, customer=None, is_retry=False, attempts=()):
         self.taken[name] = [tuple(attempt) for attempt in attempts]
         return []
 
@@ -59,14 +59,14 @@
     salts = itertools.count(7)
     journal = Journal(disk, most, "n0", syncs, lambda: next(ticks), lambda: next(salts))
     events = []
-    desk = Desk(IdleDispatcher(), {"lanes": {"a": {}}, "legs": 2},
-                RELAY_LIMITS | {"max_recent_ends": 4}, journal, 1 << 30,
-                lambda: next(ticks),
-                lambda event, **fields: events.append((event, fields)))
-    desk.hosts = desk.notices = NoOp()
-    desk.ready, desk.events = True, events
-    desk.recover()
-    return desk
+    tracker = MessageTracker(IdleDispatcher(), {"lanes": {"a": {}}, "legs": 2},
+                             RELAY_LIMITS | {"max_recent_ends": 4}, journal, 1 << 30,
+                             lambda: next(ticks),
+                             lambda event, **fields: events.append((event, fields)))
+    tracker.hosts = tracker.notices = NoOp()
+    tracker.ready, tracker.events = True, events
+    tracker.recover()
+    return tracker
 
 
 class Model:
@@ -82,43 +82,43 @@
         self.open_messages, self.pending_notices, self.closed, self.interrupted, self.unwritten = (
             {}, {}, set(), set(), set())
 
-    def apply(self, desk, what, name, size):
+    def apply(self, tracker, what, name, size):
         """Runs one operation on the tracker and records its result once it has returned."""
         self.interrupted.add(name)
         if what == "accept":
-            message = {"name": name, "dst": "7", "lane": "a", "left": 10 ** 10, "mark": "m",
+            message = {"name": name, "dst": "7", "lane": "a", "time_left": 10 ** 10, "mark": "m",
                        "customer": "", "key": "", "again": False, "body": (name.encode() * size)[:size]}
-            if (desk.take(message, False)[0] == 202 and name not in self.closed
+            if (tracker.accept(message, False)[0] == 202 and name not in self.closed
                     and name not in self.pending_notices):
                 self.open_messages.setdefault(name, [])
-        elif name in desk.held and what == "send":
-            count = len(desk.held[name].legs)
+        elif name in tracker.held and what == "send":
+            count = len(tracker.held[name].attempts)
             unsent = []
-            desk.hosts = NoOp()
-            desk.hosts.__dict__["unsent"] = lambda *args: unsent.append(args)
-            desk.do_send(name, "h", 0)
+            tracker.hosts = NoOp()
+            tracker.hosts.__dict__["unsent"] = lambda *args: unsent.append(args)
+            tracker.do_send(name, "h", 0)
             if unsent:
-                desk.returned(name, count, "h", "unsent", 0, False, 0, None)
-            elif len(desk.held[name].legs) > count:
+                tracker.attempt_ended(name, count, "h", "unsent", 0, False, 0, None)
+            elif len(tracker.held[name].attempts) > count:
                 self.open_messages[name].append(count)
-        elif name in desk.held and what == "end attempt" and self.open_messages[name]:
-            desk.returned(name, self.open_messages[name][-1], "h", NOT_RUN_ENDING, 0, False, 0, None)
-        elif name in desk.held and what == "complete":
-            desk.finish(desk.held[name], "delivered")
-            self.note_closed(desk, name, None)
-        elif name in desk.held and what == "close":
-            desk.end(name, "failed", 0, CloseCause.DEADLINE)
-            self.note_closed(desk, name, "failed")
-        elif name in desk.owed and what == "acknowledge":
-            desk.told_of([name])
-            self.note_closed(desk, name, None)
+        elif name in tracker.held and what == "end attempt" and self.open_messages[name]:
+            tracker.attempt_ended(name, self.open_messages[name][-1], "h", NOT_RUN_ENDING, 0, False, 0, None)
+        elif name in tracker.held and what == "complete":
+            tracker.complete(tracker.held[name], "delivered")
+            self.note_closed(tracker, name, None)
+        elif name in tracker.held and what == "close":
+            tracker.close_message(name, "failed", 0, CloseCause.DEADLINE)
+            self.note_closed(tracker, name, "failed")
+        elif name in tracker.pending_notices and what == "acknowledge":
+            tracker.notices_accepted([name])
+            self.note_closed(tracker, name, None)
         elif what == "compact":
-            desk.log.step(hurry=True)
-            desk.write_late()
-            self.unwritten = set(desk.unwritten)
+            tracker.journal.step(hurry=True)
+            tracker.retry_unwritten()
+            self.unwritten = set(tracker.unwritten)
         self.interrupted.discard(name)
 
-    def note_closed(self, desk, name, owed):
+    def note_closed(self, tracker, name, owed):
         """Records the end of a message. It counts as acknowledged only if its record was written: one that
         did not fit is written later."""
         self.open_messages.pop(name, None)
@@ -127,26 +127,27 @@
             self.pending_notices[name] = owed
         else:
             self.closed.add(name)
-        self.unwritten = set(desk.unwritten)
+        self.unwritten = set(tracker.unwritten)
 
-    def check(self, desk):
+    def check(self, tracker):
         """Checks a recovered tracker; raises AssertionError naming the first difference."""
         unknown = self.interrupted | self.unwritten
-        assert not desk.log.losses, desk.log.losses
+        assert not tracker.journal.losses, tracker.journal.losses
         for name, attempts in self.open_messages.items():
             if name not in unknown:
-                assert name in desk.held, f"{name} was accepted and is lost"
-                endings = [ending for _, _, ending in desk.held[name].legs]
+                assert name in tracker.held, f"{name} was accepted and is lost"
+                endings = [ending for _, _, ending in tracker.held[name].attempts]
                 sent = {n for n, ending in enumerate(endings) if ending != "unsent"}
                 assert sent.issuperset(attempts), f"{name}: a sent attempt is missing"
-                assert desk.held[name].body == (name.encode() * 4000)[:len(desk.held[name].body)]
+                assert tracker.held[name].body == (name.encode() * 4000)[:len(tracker.held[name].body)]
         for name, state in self.pending_notices.items():
-            assert name in unknown or desk.owed.get(name, (None,))[0] == state, (
+            assert name in unknown or tracker.pending_notices.get(name, (None,))[0] == state, (
                 f"{name}: its pending notice is lost")
-        restored = [desk.held[name].at for name in desk.dispatcher.taken]
+        restored = [tracker.held[name].accepted_at for name in tracker.dispatcher.taken]
         assert restored == sorted(restored), "the messages were not restored in the order of acceptance"
         for name in self.closed - unknown:
-            assert name not in desk.held and name not in desk.owed, f"{name} was closed and is open again"
+            assert name not in tracker.held and name not in tracker.pending_notices, \
+                f"{name} was closed and is open again"
 
 
 def random_script(seed, length):
@@ -172,9 +173,9 @@
 def run_script(operations, disk, model):
     """Runs a script until its end or a simulated crash; returns whether it reached its end."""
     try:
-        desk = start_tracker(disk)
+        tracker = start_tracker(disk)
         for operation in operations:
-            model.apply(desk, *operation)
+            model.apply(tracker, *operation)
     except Crash:
         return False
     return True
@@ -184,16 +185,16 @@
     """Recovers from what the crash left and checks the result; runs further operations, recovers and
     checks again."""
     remaining = disk.after()
-    desk = start_tracker(remaining)
-    model.check(desk)
-    model.open_messages = {name: [n for n, (_, _, ending) in enumerate(msg.legs) if ending != "unsent"]
-                  for name, msg in desk.held.items()}
-    model.pending_notices = {name: state for name, (state, _) in desk.owed.items()}
-    model.closed = {name for name in model.closed | model.interrupted if name not in desk.held
-                  and name not in desk.owed}
+    tracker = start_tracker(remaining)
+    model.check(tracker)
+    model.open_messages = {name: [n for n, (_, _, ending) in enumerate(msg.attempts) if ending != "unsent"]
+                  for name, msg in tracker.held.items()}
+    model.pending_notices = {name: state for name, (state, _) in tracker.pending_notices.items()}
+    model.closed = {name for name in model.closed | model.interrupted if name not in tracker.held
+                  and name not in tracker.pending_notices}
     model.interrupted, model.unwritten = set(), set()
     for operation in again:
-        model.apply(desk, *operation)
+        model.apply(tracker, *operation)
     model.check(start_tracker(remaining.after()))
 
 
--- a/courseroute/run/config.py
+++ b/courseroute/run/config.py
@@ -13,7 +13,7 @@
 from courseroute.checked import read as read_toml
 from courseroute.model.terms import flatten_settings, parse_settings
 from courseroute.run.setup import Setup, told_of
-from courseroute.wire.words import place_of
+from courseroute.wire.protocol import parse_address
 
 NOTIFIED_WITHIN = 6 * 10**9  # ns until changes known to discovery count as received, despite failures
 MOVED_NOTIFIED_WITHIN = 4 * 10**9  # the same, after a SIGHUP that changes the discovery address
@@ -78,8 +78,8 @@
     terms |= {"notified_within": NOTIFIED_WITHIN, "moved_notified_within": MOVED_NOTIFIED_WITHIN}
     return {
         "name": setup.name,
-        "listen": place_of(setup.listen),
-        "discovery": place_of(setup.directory),
+        "listen": parse_address(setup.listen),
+        "discovery": parse_address(setup.directory),
         "state": setup.state,
         "known": None,
         "keeps_list": True,
--- a/courseroute/run/logbook.py
+++ b/courseroute/run/logbook.py
@@ -52,7 +52,7 @@
         else:
             self.render = render_json
 
-    def say(self, event, **fields):
+    def log_event(self, event, **fields):
         """Writes one event with its fields, or counts it as dropped if standard output is not writable."""
         level = level_of(event)
         if LEVELS[level] < self.min_level:
@@ -83,4 +83,4 @@
 
 
 BOOK = Logbook()
-say, set_log = BOOK.say, BOOK.set
+log_event, set_log = BOOK.log_event, BOOK.set
--- a/courseroute/run/relay.py
+++ b/courseroute/run/relay.py
@@ -17,17 +17,17 @@
 from courseroute.run import config, startup_signals
 from courseroute.run.clock import BYTES as CLOCK_BYTES
 from courseroute.run.clock import open_clock
-from courseroute.run.logbook import say, set_log
+from courseroute.run.logbook import log_event, set_log
 from courseroute.run.standstill import Standstills
-from courseroute.state.desk import Desk
-from courseroute.state.figures import LOOP_DELAY
-from courseroute.state.pool import Pool
-from courseroute.state.roster import Roster
+from courseroute.state.endpoint_cache import EndpointCache
+from courseroute.state.metrics import LOOP_DELAY
+from courseroute.state.pool import ConnectionPool
+from courseroute.state.tracker import MessageTracker
 from courseroute.wire.clients import Clients
 from courseroute.wire.discovery import Discovery, Watch
 from courseroute.wire.hosts import Hosts
 from courseroute.wire.notices import Notices
-from courseroute.wire.words import roster_of
+from courseroute.wire.protocol import parse_endpoint_list
 
 REPORT_EVERY_S = 10.0  # between two reports of counters in the log
 LOCK_TIMEOUT_S = 2.0  # a killed predecessor releases its lock within this time
@@ -52,7 +52,7 @@
     def enter(self, phase, **fields):
         """Changes the phase and logs it."""
         self.phase = phase
-        say("phase", phase=phase.value, **fields)
+        log_event("phase", phase=phase.value, **fields)
 
     async def run(self):
         """Runs the relay from startup to the end of shutdown."""
@@ -64,79 +64,81 @@
         self.clock = clock.now
         learned = int(told["disk"] * limits["learned_state_share"])
         room = told["disk"] - 2 * (kept_list + learned + CLOCK_BYTES)
-        log = Journal(Disk(told["state"]), room, told["name"], syncs)
-        self.roster = Roster(told["state"], kept_list) if kept_list else None
+        journal = Journal(Disk(told["state"]), room, told["name"], syncs)
+        self.endpoint_cache = EndpointCache(told["state"], kept_list) if kept_list else None
         most_calls = int(told["sockets"] * limits["host_connections"])
         terms["slots"] = min(terms.get("slots", most_calls), most_calls)  # each call needs a connection
         dispatcher = Dispatcher(told["seed"], terms)
-        self.desk = desk = Desk(dispatcher, terms, limits, log, told["memory"], self.clock, say)
-        desk.learned = Learned(told["state"], say, learned, syncs)
-        desk.syncer = Syncer(log, told["sync"], told["sync_every"], say)
+        self.tracker = tracker = MessageTracker(
+            dispatcher, terms, limits, journal, told["memory"], self.clock, log_event
+        )
+        tracker.learned = Learned(told["state"], log_event, learned, syncs)
+        tracker.syncer = Syncer(journal, told["sync"], told["sync_every"], log_event)
         standstills = Standstills(time.monotonic_ns)
         trio.lowlevel.add_instrument(standstills)
-        desk.unread_for = standstills.unread_for
+        tracker.longest_unread_ns = standstills.unread_for
         listener = trio.socket.socket()
         listener.setsockopt(trio.socket.SOL_SOCKET, trio.socket.SO_REUSEADDR, 1)
         await listener.bind(told["listen"])
         async with trio.open_nursery() as nursery:
             keep_for = terms.get("idle_close", limits["idle_timeout"]) * limits["idle_share"]
-            pool = Pool(most_calls, keep_for, time.monotonic_ns, desk.max_idle_time)
-            desk.hosts = Hosts(nursery, desk, pool, limits, terms, self.clock, say)
-            desk.notices = Notices(desk, limits, told["discovery"], say)
+            pool = ConnectionPool(most_calls, keep_for, time.monotonic_ns, tracker.max_idle_time)
+            tracker.hosts = Hosts(nursery, tracker, pool, limits, terms, self.clock, log_event)
+            tracker.notices = Notices(tracker, limits, told["discovery"], log_event)
             watch = Watch(terms["listed_rates"], None)
-            desk.discovery = Discovery(
-                nursery, desk, desk.hosts, limits, told["discovery"], watch, self.clock, say
+            tracker.discovery = Discovery(
+                nursery, tracker, tracker.hosts, limits, told["discovery"], watch, self.clock, log_event
             )
-            desk.alarm, desk.leave = self.set_alarm, self.left.set
+            tracker.set_wakeup, tracker.on_exit = self.set_alarm, self.left.set
             self.enter(Phase.RECOVERING, clock="kept" if clock.continues else "new")
-            desk.tell("start")
+            tracker.notify_dispatcher("start")
             self.load_initial_endpoints(watch)
-            desk.recover(same_clock=clock.continues)
+            tracker.recover(same_clock=clock.continues)
             most, refusing = (
                 int(told["sockets"] * limits[name]) for name in ("client_connections", "refusing")
             )
             half_read = int(told["memory"] * limits["partial_requests_share"])
-            self.clients = Clients(desk, limits, listener, most, refusing, half_read, say)
-            desk.see_off = self.clients.close_idle
+            self.clients = Clients(tracker, limits, listener, most, refusing, half_read, log_event)
+            tracker.close_idle_clients = self.clients.close_idle
             listener.listen(limits["backlog"])
-            desk.ready = True
-            self.enter(Phase.SERVING, restored=len(desk.held), owed=len(desk.owed))
+            tracker.ready = True
+            self.enter(Phase.SERVING, restored=len(tracker.held), owed=len(tracker.pending_notices))
             await nursery.start(self.handle_signals)
-            for task in (self.clients.serve, desk.notices.serve, self.alarms):
+            for task in (self.clients.serve, tracker.notices.serve, self.alarms):
                 nursery.start_soon(task)
             nursery.start_soon(self.sweep, pool)
-            nursery.start_soon(self.compact, log)
-            nursery.start_soon(desk.syncer.serve)
+            nursery.start_soon(self.compact, journal)
+            nursery.start_soon(tracker.syncer.serve)
             nursery.start_soon(self.report)
             await self.left.wait()
             await self.close(listener)
             nursery.cancel_scope.cancel()
-        log.close()
+        journal.close()
         self.log_figures()
-        self.enter(Phase.ENDED, held=len(desk.held), owed=len(desk.owed))
+        self.enter(Phase.ENDED, held=len(tracker.held), owed=len(tracker.pending_notices))
 
     def load_initial_endpoints(self, watch):
         """Loads the endpoint list from the cache, or from the configuration where that supplies it."""
-        known = self.roster.read() if self.roster else self.told["known"]
-        if self.roster:
-            self.desk.discovery.keep = self.roster.keep
+        known = self.endpoint_cache.load() if self.endpoint_cache else self.told["known"]
+        if self.endpoint_cache:
+            self.tracker.discovery.on_endpoints = self.endpoint_cache.update_and_save
             if known is None:  # first start: the whole list is requested from discovery
                 return
         try:
-            index, _, entries, where = roster_of(known, self.told["terms"]["listed_rates"])
+            index, _, entries, addresses = parse_endpoint_list(known, self.told["terms"]["listed_rates"])
         except ValueError as cause:  # an invalid saved list must not prevent the start
-            say("saved list not read", error=str(cause)[:200])
+            log_event("saved list not read", error=str(cause)[:200])
             return
-        watch.index = None if self.roster else index
-        self.desk.discovery.learn("saved", entries, where)
+        watch.index = None if self.endpoint_cache else index
+        self.tracker.discovery.apply_endpoints("saved", entries, addresses)
 
     async def close(self, listener):
         """Shuts down without leaving a request unanswered: requests still being read get 503."""
-        self.desk.ready = False
-        self.enter(Phase.CLOSING, held=len(self.desk.held), clients=len(self.clients.open))
-        self.clients.close_idle(silent_too=True)
+        self.tracker.ready = False
+        self.enter(Phase.CLOSING, held=len(self.tracker.held), clients=len(self.clients.open_connections))
+        self.clients.close_idle(include_silent=True)
         with trio.move_on_after(RELAY_LIMITS["closing_grace"] / 1e9):
-            while self.clients.open or self.desk.owed:
+            while self.clients.open_connections or self.tracker.pending_notices:
                 await trio.sleep(RELAY_LIMITS["short_retry_delay"] / 1e9)
         listener.close()
 
@@ -147,8 +149,10 @@
             self.log_figures()
 
     def log_figures(self):
-        if totals := self.desk.figures.take_report():
-            say("figures", held=len(self.desk.held), owed=len(self.desk.owed), **totals)
+        if totals := self.tracker.metrics.snapshot_if_changed():
+            log_event(
+                "figures", held=len(self.tracker.held), owed=len(self.tracker.pending_notices), **totals
+            )
 
     async def handle_signals(self, task_status):
         """SIGTERM and SIGINT start the shutdown, SIGHUP reloads the configuration."""
@@ -160,8 +164,8 @@
                 if number == signal.SIGHUP:
                     self.reload()
                 elif self.phase is Phase.SERVING:
-                    self.enter(Phase.LEAVING, held=len(self.desk.held))
-                    self.desk.tell("stop")
+                    self.enter(Phase.LEAVING, held=len(self.tracker.held))
+                    self.tracker.notify_dispatcher("stop")
 
     def reload(self):
         """Reloads the configuration. The discovery address changes at once and open messages are kept; other
@@ -169,20 +173,25 @@
         try:
             told = config.read()
         except Bad as cause:
-            say("configuration not read, the old one stays", error=str(cause)[:400])
+            log_event("configuration not read, the old one stays", error=str(cause)[:400])
             return
         set_log(**told["log"])
-        place = told["discovery"]
+        address = told["discovery"]
         later = sorted(
             name
             for name in told
             if name not in ("discovery", "known", "log", "seed") and told[name] != self.told[name]
         )
-        say("configuration read", discovery=place, moved=place != self.told["discovery"], at_next_start=later)
-        if place != self.told["discovery"]:
-            self.told["discovery"] = place
-            self.desk.notices.move(place)
-            self.desk.discovery.move(place)
+        log_event(
+            "configuration read",
+            discovery=address,
+            moved=address != self.told["discovery"],
+            at_next_start=later,
+        )
+        if address != self.told["discovery"]:
+            self.told["discovery"] = address
+            self.tracker.notices.set_address(address)
+            self.tracker.discovery.set_address(address)
 
     def set_alarm(self, delay):
         """Wakes the dispatcher in `delay` nanoseconds, or earlier if an earlier wake-up is set."""
@@ -200,12 +209,12 @@
                 continue
             if self.alarm_at and self.clock() >= self.alarm_at:
                 self.alarm_at = None
-                self.desk.tell("wake")
+                self.tracker.notify_dispatcher("wake")
 
-    async def compact(self, log):
+    async def compact(self, journal):
         """Runs compaction slices between other work."""
         while True:
-            busy = log.wants() and self.desk.guarded(log.step)
+            busy = journal.wants() and self.tracker.run_guarded(journal.step)
             await trio.sleep(RELAY_LIMITS["compaction_pause" if busy else "short_retry_delay"] / 1e9)
 
     async def sweep(self, pool):
@@ -213,12 +222,12 @@
         while True:
             due = time.monotonic_ns() + RELAY_LIMITS["sweep_interval"]
             await trio.sleep(RELAY_LIMITS["sweep_interval"] / 1e9)
-            self.desk.figures.longest(LOOP_DELAY, time.monotonic_ns() - due)
-            pool.sweep()
-            self.desk.write_late()
-            self.desk.keep_lessons()
-            if self.roster:
-                self.roster.write()
+            self.tracker.metrics.record_longest(LOOP_DELAY, time.monotonic_ns() - due)
+            pool.close_stale()
+            self.tracker.retry_unwritten()
+            self.tracker.save_learned_state()
+            if self.endpoint_cache:
+                self.endpoint_cache.save()
 
 
 def main(told):
@@ -228,6 +237,6 @@
     try:
         trio.run(Relay(told).run)
     except* (Newer, Held) as group:  # logged in one line; the folder is unchanged
-        say("folder not usable", error=str(group.exceptions[0])[:300])
+        log_event("folder not usable", error=str(group.exceptions[0])[:300])
         code = 2
     return code
--- a/courseroute/state/roster.py
+++ b/courseroute/state/endpoint_cache.py
@@ -14,7 +14,7 @@
 CACHED_FIELDS = ("zone", "weight", "type", "group")
 
 
-class Roster:
+class EndpointCache:
     """The saved list: `endpoints` maps each name to its fields in discovery's form."""
 
     def __init__(self, folder, max_bytes):
@@ -22,7 +22,7 @@
         self.path, self.max_bytes = os.path.join(folder, "list"), max_bytes
         self.endpoints, self.last_written = {}, None
 
-    def read(self):
+    def load(self):
         """The saved list in discovery's form, None where there is none."""
         try:
             with open(self.path, "rb") as file:
@@ -31,32 +31,32 @@
         except (OSError, ValueError):
             return None
 
-    def keep(self, scope, entries, where):
+    def update_and_save(self, scope, entries, addresses):
         """Applies an update and saves it at once: a process killed right after it must not forget a drain."""
-        self.learn(scope, entries, where)
+        self.update(scope, entries, addresses)
         if entries:
-            self.write()
+            self.save()
 
-    def learn(self, scope, entries, where):
-        """Applies an update as in `Discovery.learn`. Entries are (name, state, zone, rate, kind,
-        destination), `where` maps names to addresses."""
+    def update(self, scope, entries, addresses):
+        """Applies an update as in `Discovery.apply_endpoints`. Entries are (name, state, zone, rate, kind,
+        destination), `addresses` maps names to addresses."""
         if scope == "full":
             self.endpoints.clear()
         for name, state, zone, rate, kind, destination in entries:
             if state not in STATUS_OF_STATE:
                 self.endpoints.pop(name, None)
                 continue
-            place = where.get(name) or self.endpoints.get(name, {}).get("place")
+            address = addresses.get(name) or self.endpoints.get(name, {}).get("address")
             self.endpoints[name] = {
                 "status": STATUS_OF_STATE[state],
-                "place": place,
+                "address": address,
                 "zone": zone,
                 "weight": rate,
                 "type": kind,
                 "group": destination,
             }
 
-    def write(self):
+    def save(self):
         """Saves the list if it changed and returns whether it wrote. A write that fails leaves no partial
         file and is not reported: the relay works without the saved list."""
         data = orjson.dumps(
@@ -66,12 +66,12 @@
                 "endpoints": [
                     {
                         "name": name,
-                        "address": "{}:{}".format(*one["place"]),
+                        "address": "{}:{}".format(*one["address"]),
                         "status": one["status"],
                         **{field: one[field] for field in CACHED_FIELDS},
                     }
                     for name, one in self.endpoints.items()
-                    if one["place"]
+                    if one["address"]
                 ],
             }
         )
--- a/courseroute/state/figures.py
+++ b/courseroute/state/metrics.py
@@ -5,7 +5,7 @@
 LOOP_DELAY = "loop_delay_ms"  # how late a timer of the event loop fired
 
 
-class Figures:
+class Metrics:
     """Totals since the start of the process, under names such as `closed.no room` or `attempts.timeout`."""
 
     def __init__(self):
@@ -17,13 +17,13 @@
         """Adds one to the total of a kind and value, such as ("closed", CloseCause.CAPACITY_EXCEEDED)."""
         self.totals[f"{kind}.{value}"] += 1
 
-    def longest(self, name, span_ns):
+    def record_longest(self, name, span_ns):
         """Keeps the longest duration of that name since the last report, in milliseconds; zero and negative
         ones are ignored."""
         if span_ns > 0:
             self.longest_ms[name] = max(self.longest_ms.get(name, 0.0), round(span_ns / 1e6, 1))
 
-    def take_report(self):
+    def snapshot_if_changed(self):
         """The longest durations and the totals if a total has changed since the last report, else None. A
         report resets the longest durations."""
         if self.totals == self.reported:
--- a/courseroute/state/pool.py
+++ b/courseroute/state/pool.py
@@ -3,8 +3,8 @@
 from typing import NamedTuple
 
 from courseroute.model.causes import ConnectionCloseCause
-from courseroute.wire.link import QUIET_PERIOD_NS, Link
-from courseroute.wire.unread import peek_unread
+from courseroute.wire.connection import QUIET_PERIOD_NS, Connection
+from courseroute.wire.socket_probe import peek_unread
 
 
 class IdleConnection(NamedTuple):
@@ -13,23 +13,23 @@
     Times are nanoseconds of the pool's clock.
     """
 
-    link: Link
+    connection: Connection
     since: int
     usable_at: int
 
 
-class Pool:
+class ConnectionPool:
     """Connections to all hosts, at most `max_open` at once.
 
     An idle connection is closed after `idle_timeout` nanoseconds; `max_idle_time()` gives the time after
-    which it must not be used again. `on_closed(link, cause, waiting)` is called for each connection that the
-    pool closes; `waiting` are the bytes found unread on it, if any.
+    which it must not be used again. `on_closed(connection, cause, waiting)` is called for each connection
+    that the pool closes; `waiting` are the bytes found unread on it, if any.
     """
 
     def __init__(self, max_open, idle_timeout, clock, max_idle_time):
         self.max_open, self.idle_timeout, self.clock = max_open, idle_timeout, clock
         self.max_idle_time = max_idle_time
-        self.on_closed = lambda link, cause, waiting=b"": None
+        self.on_closed = lambda connection, cause, waiting=b"": None
         self.open_count = 0  # idle ones and those in use
         self.idle = {}  # host -> its IdleConnections, the newest last
 
@@ -40,7 +40,7 @@
             oldest = min(((idle[0].since, host) for host, idle in self.idle.items()), default=None)
             if oldest is None:
                 return False
-            self.discard(self.pop_idle(oldest[1], 0).link, ConnectionCloseCause.EVICTED)
+            self.discard(self.pop_idle(oldest[1], 0).connection, ConnectionCloseCause.EVICTED)
         self.open_count += 1
         return True
 
@@ -49,10 +49,10 @@
         self.open_count -= 1
 
     def pop_idle(self, host, index):
-        connection = self.idle[host].pop(index)
+        idle_connection = self.idle[host].pop(index)
         if not self.idle[host]:
             del self.idle[host]
-        return connection
+        return idle_connection
 
     def take_idle(self, host):
         """(connection, idle time) of the newest idle connection whose quiet period is over and that is still
@@ -62,12 +62,12 @@
         answer would be taken for the answer to the next call.
         """
         while (index := self.newest_usable(host)) is not None:
-            link, since, _ = self.pop_idle(host, index)
+            connection, since, _ = self.pop_idle(host, index)
             idle_time = self.clock() - since
             if idle_time >= min(self.idle_timeout, self.max_idle_time()):
-                self.discard(link, ConnectionCloseCause.IDLE_TIMEOUT)
-            elif self.discard_unless_quiet(link):
-                return link, idle_time
+                self.discard(connection, ConnectionCloseCause.IDLE_TIMEOUT)
+            elif self.discard_unless_quiet(connection):
+                return connection, idle_time
         return None, None
 
     def newest_usable(self, host):
@@ -76,24 +76,24 @@
         usable = [index for index, idle in enumerate(self.idle.get(host, ())) if idle.usable_at <= now]
         return usable[-1] if usable else None
 
-    def add_idle(self, host, link, quiet_period=QUIET_PERIOD_NS):
+    def add_idle(self, host, connection, quiet_period=QUIET_PERIOD_NS):
         """Keeps a connection for reuse, not before its quiet period is over."""
         now = self.clock()
-        self.idle.setdefault(host, []).append(IdleConnection(link, now, now + quiet_period))
+        self.idle.setdefault(host, []).append(IdleConnection(connection, now, now + quiet_period))
 
-    def discard(self, link, cause, waiting=b""):
+    def discard(self, connection, cause, waiting=b""):
         """Closes a connection and counts it no longer."""
         self.release()
-        link.close()
-        self.on_closed(link, cause, waiting)
+        connection.close()
+        self.on_closed(connection, cause, waiting)
 
-    def discard_unless_quiet(self, link):
+    def discard_unless_quiet(self, connection):
         """Whether the connection is open and has nothing to read; otherwise it is closed."""
-        waiting = peek_unread(link.socket)
+        waiting = peek_unread(connection.socket)
         if waiting is None:
             return True
         self.discard(
-            link,
+            connection,
             ConnectionCloseCause.UNEXPECTED_BYTES if waiting else ConnectionCloseCause.ENDED_BY_HOST,
             waiting,
         )
@@ -102,9 +102,9 @@
     def close_idle(self, host):
         """Closes all idle connections to a host."""
         while host in self.idle:
-            self.discard(self.pop_idle(host, 0).link, ConnectionCloseCause.CONNECTIONS_UNRELIABLE)
+            self.discard(self.pop_idle(host, 0).connection, ConnectionCloseCause.CONNECTIONS_UNRELIABLE)
 
-    def sweep(self):
+    def close_stale(self):
         """Closes idle connections that timed out, were closed by the host, or have unexpected bytes to
         read."""
         for host in list(self.idle):
@@ -115,6 +115,6 @@
     def check_idle(self, idle):
         """Whether an idle connection may be kept; otherwise it is closed."""
         if self.clock() - idle.since >= self.idle_timeout:
-            self.discard(idle.link, ConnectionCloseCause.IDLE_TIMEOUT)
+            self.discard(idle.connection, ConnectionCloseCause.IDLE_TIMEOUT)
             return False
-        return self.discard_unless_quiet(idle.link)
+        return self.discard_unless_quiet(idle.connection)
--- a/courseroute/state/desk.py
+++ b/courseroute/state/tracker.py
@@ -15,8 +15,8 @@
 from courseroute.journal.replay import Replay
 from courseroute.journal.store import DAMAGE, Full
 from courseroute.model.causes import CloseCause
-from courseroute.state.figures import Figures
-from courseroute.wire import words
+from courseroute.state.metrics import Metrics
+from courseroute.wire import protocol
 
 MS = 1_000_000
 # Bytes that such a record takes in the journal, in addition to the message's name.
@@ -35,21 +35,30 @@
         "idempotency_key",
         "key",
         "customer",
-        "again",
-        "at",
+        "is_retry",
+        "accepted_at",
         "persisted",
-        "legs",
+        "attempts",
         "ending",
         "size",
         "unread",
         "final_answer_due",
     )
 
-    def __init__(self, name, dst, lane, deadline, body, idempotency_key, key, customer, again, at=0):
+    def __init__(
+        self, name, dst, lane, deadline, body, idempotency_key, key, customer, is_retry, accepted_at=0
+    ):
         self.name, self.dst, self.lane, self.deadline, self.body = name, dst, lane, deadline, body
-        self.idempotency_key, self.key, self.customer, self.again = idempotency_key, key, customer, again
-        self.at = at  # time of acceptance; messages with the same ordering key are sent in this order
-        self.persisted, self.legs, self.ending = False, [], None  # legs: [host, sent at, ending or None]
+        self.idempotency_key, self.key, self.customer, self.is_retry = (
+            idempotency_key,
+            key,
+            customer,
+            is_retry,
+        )
+        # Time of acceptance; messages with the same ordering key are sent in this order.
+        self.accepted_at = accepted_at
+        # attempts: [host, sent at, ending or None]
+        self.persisted, self.attempts, self.ending = False, [], None
         self.size = 0  # bytes reserved in the journal, including the records of all possible attempts
         # When its final answer must be started, to arrive before the deadline.
         self.final_answer_due = deadline
@@ -67,8 +76,8 @@
                 self.idempotency_key,
                 self.key,
                 self.customer,
-                self.again,
-                self.at,
+                self.is_retry,
+                self.accepted_at,
             ],
             self.body,
         )
@@ -79,26 +88,30 @@
             self.record(),
             *(
                 record(records.CALL, [self.name, n, host, at, ending])
-                for n, (host, at, ending) in enumerate(self.legs)
+                for n, (host, at, ending) in enumerate(self.attempts)
             ),
         ]
 
 
-class Desk:
-    """The coordinator of one relay. `run.relay` sets the drivers and callbacks that are None at first.
+class MessageTracker:
+    """Tracks all messages of one relay and executes the dispatcher's actions. `run.relay` sets the drivers
+    and callbacks that are None at first.
 
-    `limits` holds the relay's resource limits, `memory` the bytes that the process may use, `say` writes a
-    log event.
+    `limits` holds the relay's resource limits, `memory` the bytes that the process may use, `log_event`
+    writes a log event.
     """
 
-    def __init__(self, dispatcher, terms, limits, log, memory, clock, say):
-        self.dispatcher, self.terms, self.limits, self.log = dispatcher, terms, limits, log
-        self.clock, self.say, self.memory = clock, say, int(memory * limits["held_share"])
-        self.held, self.owed = {}, {}  # name -> HeldMessage; name -> (state, delay) of a pending notice
-        self.ends = OrderedDict()  # name -> delivered, returned, failed or over
-        self.hosts = self.notices = self.discovery = self.alarm = self.leave = self.see_off = None
+    def __init__(self, dispatcher, terms, limits, journal, memory, clock, log_event):
+        self.dispatcher, self.terms, self.limits, self.journal = dispatcher, terms, limits, journal
+        self.clock, self.log_event, self.memory = clock, log_event, int(memory * limits["held_share"])
+        # name -> HeldMessage; name -> (state, delay) of a pending notice
+        self.held, self.pending_notices = {}, {}
+        self.recent_ends = OrderedDict()  # name -> delivered, returned, failed or over
+        self.hosts = self.notices = self.discovery = self.set_wakeup = self.on_exit = (
+            self.close_idle_clients
+        ) = None
         self.queued_events, self.dispatching, self.ready = deque(), False, False
-        self.unread_for = lambda: 0  # upper bound of the time a request waited before it was read
+        self.longest_unread_ns = lambda: 0  # upper bound of the time a request waited before it was read
         self.syncer = None
         self.learned = None  # the file that keeps what the dispatcher has learned of the hosts
         self.reserved_bytes = 0
@@ -107,35 +120,36 @@
         self.unannounced = {}
         self.unwritten = {}  # name -> kind of the record of its final state that is still to be written
         self.full_since = None
-        self.figures = Figures()
-        log.refresh, log.remembered = self.live_records, self.ends.__contains__
+        self.metrics = Metrics()
+        journal.refresh, journal.remembered = self.live_records, self.recent_ends.__contains__
 
     # Clients.
 
-    def handle_request(self, request, gone, unread=0):
+    def handle_request(self, request, peer_closed, unread=0):
         """The answer to a client's request: (status, headers, body).
 
-        `gone`: the client has closed its side. `unread`: nanoseconds since the request's last byte arrived.
+        `peer_closed`: the client has closed its side. `unread`: nanoseconds since the request's last byte
+        arrived.
         """
         if request.target in ("/ready", "/health"):
             return (200 if self.ready or request.target == "/health" else 503), (), b""
         try:
-            fields = words.notice_of(request, self.terms["lanes"], self.limits["max_name_length"])
-        except words.Refused as cause:
+            fields = protocol.parse_message(request, self.terms["lanes"], self.limits["max_name_length"])
+        except protocol.ProtocolError as cause:
             return cause.status, (), f"{cause}\n".encode()
-        status, after = self.take(fields, gone, unread)
+        status, after = self.accept(fields, peer_closed, unread)
         return status, ([("Retry-After", f"{after / 1e9:.3f}")] if after else ()), b""
 
-    def take(self, fields, gone, unread=0):
-        """Accepts or rejects a message with the fields of `words.notice_of`: (status, retry delay)."""
+    def accept(self, fields, peer_closed, unread=0):
+        """Accepts or rejects a message with the fields of `protocol.parse_message`: (status, retry delay)."""
         name = fields["name"]
         if name in self.held:  # a repeated request: the answer to the first may have been lost
             return 202, 0
-        if name in self.ends:
-            return {"delivered": 200, "returned": 503}.get(self.ends[name], 500), 0
+        if name in self.recent_ends:
+            return {"delivered": 200, "returned": 503}.get(self.recent_ends[name], 500), 0
         now = self.clock()
-        unread = max(unread, self.unread_for())  # the kernel may not report the former
-        deadline = now + fields["left"] - unread
+        unread = max(unread, self.longest_unread_ns())  # the kernel may not report the former
+        deadline = now + fields["time_left"] - unread
         msg = HeldMessage(
             name,
             fields["dst"],
@@ -149,34 +163,38 @@
             now,
         )
         msg.unread, msg.final_answer_due = unread, self.final_answer_due(msg)
-        self.figures.longest("request_unread_ms", unread)
-        if cause := self.refusal_cause(msg, gone):
-            self.figures.count("closed", cause)
+        self.metrics.record_longest("request_unread_ms", unread)
+        if cause := self.refusal_cause(msg, peer_closed):
+            self.metrics.count("closed", cause)
             return 503, 0
         self.held[name] = msg
         self.reserve(msg.size)
-        self.tell("accept", name, msg.dst, msg.lane, msg.final_answer_due, msg.key, msg.customer, msg.again)
+        self.notify_dispatcher(
+            "accept", name, msg.dst, msg.lane, msg.final_answer_due, msg.key, msg.customer, msg.is_retry
+        )
         if msg.ending is None:
             try:
                 self.persist(msg)
             except Full as cause:
                 self.log_write_failure(cause)
                 self.remove(msg, None)
-                self.figures.count("closed", CloseCause.JOURNAL_UNWRITABLE)
-                self.tell("withdraw", name)
+                self.metrics.count("closed", CloseCause.JOURNAL_UNWRITABLE)
+                self.notify_dispatcher("withdraw", name)
                 return 503, 0
-            self.figures.count("messages", "taken on")
+            self.metrics.count("messages", "taken on")
             return 202, 0
         state, after = msg.ending
         return {"delivered": 202, "returned": 503}.get(state, 500), after
 
     def final_answer_due(self, msg):
         """When the message's final answer must be started."""
-        return final_answer_due(msg.at, msg.deadline, self.terms["lanes"].get(msg.lane, {}).get("deadline"))
+        return final_answer_due(
+            msg.accepted_at, msg.deadline, self.terms["lanes"].get(msg.lane, {}).get("deadline")
+        )
 
-    def refusal_cause(self, msg, gone):
+    def refusal_cause(self, msg, peer_closed):
         """The CloseCause that rejects a message before the dispatcher is asked, else None."""
-        if gone:
+        if peer_closed:
             return CloseCause.CLIENT_GONE
         if not self.ready:
             return CloseCause.NOT_READY
@@ -184,10 +202,10 @@
 
     def has_room(self, size):
         """Whether journal and memory have room for `size` more bytes; logs each change from room to none."""
-        fits = self.log.room(size) and self.reserved_bytes + size <= self.memory
+        fits = self.journal.room(size) and self.reserved_bytes + size <= self.memory
         if fits != (self.full_since is None):
             self.full_since = None if fits else self.clock()
-            self.say("room again" if fits else "full", held=len(self.held), bytes=self.reserved_bytes)
+            self.log_event("room again" if fits else "full", held=len(self.held), bytes=self.reserved_bytes)
         return fits
 
     def measure(self, msg):
@@ -200,29 +218,34 @@
     def reserve(self, size):
         """Adds to the bytes reserved in the journal; a negative size releases them."""
         self.reserved_bytes += size
-        self.log.live += size
+        self.journal.live += size
 
     def persist(self, msg, *attempts):
         """Writes the record of acceptance, unless it is written already, and those of attempts that are about
         to be sent, in one write. Raises Full where that fails."""
         fresh, msg.persisted = not msg.persisted, True
         try:
-            self.log.write(*([msg.record()] if fresh else ()), *attempts)
+            self.journal.write(*([msg.record()] if fresh else ()), *attempts)
         except Full:
             msg.persisted = not fresh
             raise
 
     def log_write_failure(self, cause):
-        self.say("journal cannot be written", error=str(cause)[:200], size=self.log.size, live=self.log.live)
+        self.log_event(
+            "journal cannot be written",
+            error=str(cause)[:200],
+            size=self.journal.size,
+            live=self.journal.live,
+        )
 
-    async def settled(self):
+    async def wait_synced(self):
         """Returns once all that was written is synced as far as the settings ask for."""
         if self.syncer is not None:
-            await self.syncer.settled()
+            await self.syncer.wait_synced()
 
     # Hosts.
 
-    def returned(self, name, n, host, ending, wait, over, took, report, idle=None):
+    def attempt_ended(self, name, n, host, ending, wait, over, took, report, idle=None):
         """Records how the n-th attempt of a message ended, and tells the dispatcher.
 
         `wait`: delay that the host asked for, in nanoseconds; `over`: no further attempt may follow; `took`:
@@ -230,12 +253,14 @@
         been idle, None for a new one."""
         msg = self.held.get(name)
         if msg is not None:
-            msg.legs[n][2] = ending
+            msg.attempts[n][2] = ending
             if over:
-                self.finish(msg, "delivered" if ending == "delivered" else "over")
+                self.complete(msg, "delivered" if ending == "delivered" else "over")
             else:
                 self.try_write(record(records.BACK, [name, n, ending]))
-        self.tell("attempt_ended", name, n, host, ending, took, wait, report, over or msg is None, idle)
+        self.notify_dispatcher(
+            "attempt_ended", name, n, host, ending, took, wait, report, over or msg is None, idle
+        )
 
     def max_idle_time(self):
         return self.dispatcher.max_idle_time(self.clock())
@@ -251,9 +276,9 @@
 
     def try_write(self, *parts):
         """Writes records that the next process needs; returns whether that worked. A failure is logged, and
-        the record of a final state is written later by `write_late`."""
+        the record of a final state is written later by `retry_unwritten`."""
         try:
-            self.log.write(*parts)
+            self.journal.write(*parts)
             return True
         except Full as cause:
             self.unwritten.update((part.told[0], part.kind) for part in parts if part.kind != records.BACK)
@@ -265,7 +290,7 @@
         process that does not know of it would have no time left to send the message."""
         return self.clock() >= final_answer_due - self.limits["sweep_interval"]
 
-    def write_late(self):
+    def retry_unwritten(self):
         """Retries to write the final states whose first write failed: without them a restarted process would
         send the messages again."""
         for name, due in list(self.unannounced.items()):
@@ -275,10 +300,10 @@
             parts = (
                 self.live_records(name)
                 if kind == records.OWED
-                else [self.log.over(name, self.ends.get(name, "over"))]
+                else [self.journal.over(name, self.recent_ends.get(name, "over"))]
             )
             try:
-                self.log.write(*parts)
+                self.journal.write(*parts)
                 del self.unwritten[name]
                 self.queue_notice(name)
             except Full:
@@ -286,7 +311,7 @@
 
     # The dispatcher.
 
-    def tell(self, method, *args):
+    def notify_dispatcher(self, method, *args):
         """Calls a method of the dispatcher and executes the actions it returns. Each event is a batch of its
         own; one that arrives while another's actions are executed is queued behind it."""
         self.queued_events.append((method, args))
@@ -297,7 +322,7 @@
             while self.queued_events:
                 method, args = self.queued_events.popleft()
                 for action in self.decide(self.clock(), method, args):
-                    self.guarded(self.execute, action)
+                    self.run_guarded(self.execute, action)
         finally:
             self.dispatching = False
 
@@ -305,17 +330,17 @@
         """The actions that follow from an event. A dispatcher method that raises gives a wake-up instead."""
         actions = []
         for method, args in ((event, event_args), ("end_batch", ())):
-            more = self.guarded(getattr(self.dispatcher, method), now, *args)
+            more = self.run_guarded(getattr(self.dispatcher, method), now, *args)
             actions += [("wake", self.limits["sweep_interval"])] if more is None else more
         return actions
 
-    def guarded(self, function, *args):
+    def run_guarded(self, function, *args):
         """Calls a function; an exception is logged and gives None, so that one faulty decision does not stop
         the relay and lose its messages."""
         try:
             return function(*args)
         except Exception:
-            self.say("fault", at=function.__name__, trace=traceback.format_exc()[-1500:])
+            self.log_event("fault", at=function.__name__, trace=traceback.format_exc()[-1500:])
             return None
 
     def execute(self, action):
@@ -324,8 +349,8 @@
 
     def do_send(self, name, host, until):
         msg, now = self.held[name], self.clock()
-        n = len(msg.legs)
-        msg.legs.append([host, now, None])
+        n = len(msg.attempts)
+        msg.attempts.append([host, now, None])
         try:
             self.persist(msg, record(records.CALL, [name, n, host, now, None]))
         except Full as cause:  # an attempt that is not in the journal must not be sent
@@ -338,54 +363,54 @@
         self.hosts.cancel(name, n)
 
     def do_push_back(self, name, stay_away, cause):
-        self.end(name, "returned", stay_away, cause)
+        self.close_message(name, "returned", stay_away, cause)
 
     def do_fail(self, name, cause):
-        self.end(name, "failed", 0, cause)
+        self.close_message(name, "failed", 0, cause)
 
     def do_close(self, host):
         self.hosts.close(host)
 
     def do_wake(self, delay):
-        self.alarm(delay)
+        self.set_wakeup(delay)
 
     def do_watch(self, wait):
         self.discovery.request_list(wait)
 
     def do_log(self, text):
-        self.say(text)
+        self.log_event(text)
 
     def do_see_off(self):
-        self.see_off()
+        self.close_idle_clients()
 
     def do_exit(self):
-        self.leave()
+        self.on_exit()
 
     # Final states.
 
-    def end(self, name, state, after, cause):
+    def close_message(self, name, state, after, cause):
         """Closes a message without a delivery. `after`: nanoseconds that its client shall wait before it
         tries again. A message that is not acknowledged yet gets the state as its answer, else a notice."""
         msg = self.held.get(name)
         if msg is None:
             return
         msg.ending = state, after
-        self.figures.count("closed", cause)
+        self.metrics.count("closed", cause)
         if not msg.persisted:  # its client still waits for the answer, which reports the state
             self.remove(msg, state)
             return
-        self.say(
+        self.log_event(
             "message closed",
             id=name,
             state=state,
             cause=cause,
             lane=msg.lane,
-            attempts=len(msg.legs),
-            held_ms=(self.clock() - msg.at) // MS,
+            attempts=len(msg.attempts),
+            held_ms=(self.clock() - msg.accepted_at) // MS,
             left_ms=(msg.deadline - self.clock()) // MS,
             unread_ms=msg.unread // MS,
         )
-        self.owed[name] = state, after
+        self.pending_notices[name] = state, after
         self.notice_deadlines[name] = msg.deadline
         self.reserve(NOTICE_RECORD_BYTES + len(name))
         # Removed before the write, which may compact the journal and must not copy the message then.
@@ -400,33 +425,33 @@
         """Queues the notice of a final state. This waits for the state to be written: a restarted process
         that does not know of it would send a closed message."""
         if self.unannounced.pop(name, None) is not None:
-            self.notices.add(name, *self.owed[name])
+            self.notices.add(name, *self.pending_notices[name])
 
-    def told_of(self, names):
+    def notices_accepted(self, names):
         """Records that the platform has accepted these messages' notices."""
         for name in names:
             self.record_notice(name, self.notice_deadlines.pop(name, None))
         self.reserve(-sum(NOTICE_RECORD_BYTES + len(name) for name in names))
-        self.try_write(*(self.log.over(name, self.owed.pop(name)[0]) for name in names))
+        self.try_write(*(self.journal.over(name, self.pending_notices.pop(name)[0]) for name in names))
 
     def record_notice(self, name, deadline):
         """Counts an accepted notice as in time or late; logs a late one."""
         if deadline is None:  # pending since an earlier process
-            self.figures.count("notices", "of an earlier life")
+            self.metrics.count("notices", "of an earlier life")
             return
         late = self.clock() - deadline
-        self.figures.count("notices", "in time" if late <= 0 else "behind the deadline")
-        self.figures.longest("notice_behind_deadline_ms", late)
+        self.metrics.count("notices", "in time" if late <= 0 else "behind the deadline")
+        self.metrics.record_longest("notice_behind_deadline_ms", late)
         if late > 0:
-            self.say("notice behind its deadline", id=name, late_ms=late // MS)
+            self.log_event("notice behind its deadline", id=name, late_ms=late // MS)
 
-    def finish(self, msg, state):
+    def complete(self, msg, state):
         """Closes a message that needs no notice: delivered, or over."""
         msg.ending = state, 0
-        self.figures.count("messages", state)
+        self.metrics.count("messages", state)
         self.remove(msg, state)
         if msg.persisted:
-            self.try_write(self.log.over(msg.name, state))
+            self.try_write(self.journal.over(msg.name, state))
 
     def remove(self, msg, state):
         """Drops a message from memory; its state, unless None, is remembered."""
@@ -437,18 +462,18 @@
 
     def remember_end(self, name, state):
         """Keeps a recent final state, which answers a client that sends the message again."""
-        if name not in self.ends:
+        if name not in self.recent_ends:
             self.reserve(END_RECORD_BYTES + len(name))
-        self.ends[name] = state
-        while len(self.ends) > self.limits["max_recent_ends"]:
-            oldest, _ = self.ends.popitem(last=False)
+        self.recent_ends[name] = state
+        while len(self.recent_ends) > self.limits["max_recent_ends"]:
+            oldest, _ = self.recent_ends.popitem(last=False)
             self.reserve(-END_RECORD_BYTES - len(oldest))
 
     # The journal.
 
-    def keep_lessons(self):
+    def save_learned_state(self):
         """Saves what the dispatcher has learned for the next process, if it changed."""
-        learned = self.guarded(self.dispatcher.learned_state, self.clock())
+        learned = self.run_guarded(self.dispatcher.learned_state, self.clock())
         if learned is not None and self.learned is not None:
             try:
                 self.learned.keep(learned, self.clock())
@@ -458,12 +483,12 @@
     def live_records(self, name):
         """The records that the journal must keep of a message: all of them while it has no final state, that
         of its state while the notice is pending or the state is remembered."""
-        if name in self.owed:
-            state, after = self.owed[name]
+        if name in self.pending_notices:
+            state, after = self.pending_notices[name]
             return [record(records.OWED, [name, state, after])]
         if msg := self.held.get(name):
             return msg.records() if msg.persisted else []
-        return [self.log.over(name, self.ends[name])] if name in self.ends else []
+        return [self.journal.over(name, self.recent_ends[name])] if name in self.recent_ends else []
 
     def recover(self, same_clock=True):
         """Restores the messages of earlier processes from the journal: queues pending notices, and passes
@@ -471,32 +496,32 @@
         (`same_clock` is false) the age of an attempt is unknown: its idempotency window counts as closed, and
         learned state is used only if its time stamp is recent on the new clock too."""
         replay = Replay(self.limits["max_recent_ends"])
-        for kind, fields, body in self.log.read():
+        for kind, fields, body in self.journal.read():
             if kind == DAMAGE:
-                self.say("journal damaged", segment=fields.segment, at=fields.at, bytes=fields.size)
+                self.log_event("journal damaged", segment=fields.segment, at=fields.at, bytes=fields.size)
                 replay.damage()
             else:
                 replay.feed(kind, fields, body)
         replay.finish()
-        self.owed = replay.owed
+        self.pending_notices = replay.owed
         for name, state in replay.ends.items():
             self.remember_end(name, state)
         for name, kept in replay.held.items():
             msg = self.held[name] = HeldMessage(name, *kept.told[1:4], kept.body, *kept.told[4:])
-            msg.persisted, msg.legs, msg.final_answer_due = True, kept.legs, self.final_answer_due(msg)
+            msg.persisted, msg.attempts, msg.final_answer_due = True, kept.legs, self.final_answer_due(msg)
             if not same_clock:
-                msg.legs = [[host, 0, ending] for host, _, ending in msg.legs]
+                msg.attempts = [[host, 0, ending] for host, _, ending in msg.attempts]
             self.reserve(self.measure(msg))
-        self.reserve(sum(NOTICE_RECORD_BYTES + len(name) for name in self.owed))
-        for name, (state, after) in self.owed.items():
+        self.reserve(sum(NOTICE_RECORD_BYTES + len(name) for name in self.pending_notices))
+        for name, (state, after) in self.pending_notices.items():
             self.notices.add(name, state, after)
         if self.learned is not None:
             learned, at = self.learned.read()
             if learned and (same_clock or 0 <= self.clock() - at <= self.limits["learned_state_valid_for"]):
-                self.tell("restore_learned_state", learned, at)
+                self.notify_dispatcher("restore_learned_state", learned, at)
         # In order of acceptance: the journal holds compacted copies behind messages accepted later.
-        for msg in sorted(self.held.values(), key=lambda msg: msg.at):
-            self.tell(
+        for msg in sorted(self.held.values(), key=lambda msg: msg.accepted_at):
+            self.notify_dispatcher(
                 "accept",
                 msg.name,
                 msg.dst,
@@ -504,6 +529,6 @@
                 msg.final_answer_due,
                 msg.key,
                 msg.customer,
-                msg.again,
-                [tuple(leg) for leg in msg.legs],
+                msg.is_retry,
+                [tuple(attempt) for attempt in msg.attempts],
             )
--- a/courseroute/town/clients.py
+++ b/courseroute/town/clients.py
@@ -13,8 +13,8 @@
 
 from courseroute.checked import span
 from courseroute.town.hosts import body_of
-from courseroute.wire.http import Refused
-from courseroute.wire.link import LOST, Link
+from courseroute.wire.connection import CONNECTION_ERRORS, Connection
+from courseroute.wire.http import ProtocolError
 
 MS = 1_000_000
 S = 1000 * MS
@@ -140,25 +140,25 @@
             row = self.ledger_row(arrival, name, relay, started + left)
             why = "no answer"
             for _ in range(2):  # the relay may close an idle connection while the request is on its way
-                link = self.idle[relay].pop() if self.idle[relay] else None
-                reused, why = link is not None, "no answer"
+                connection = self.idle[relay].pop() if self.idle[relay] else None
+                reused, why = connection is not None, "no answer"
                 try:
                     with trio.move_on_at(answer_due):
-                        if link is None:
-                            link, why = Link(MAX_HEAD_BYTES, MAX_BODY_BYTES), "unreachable"
-                            await link.dial(self.relays[relay])
+                        if connection is None:
+                            connection, why = Connection(MAX_HEAD_BYTES, MAX_BODY_BYTES), "unreachable"
+                            await connection.connect(self.relays[relay])
                             why = "no answer"
                         self.tell("hand", started, **row)
                         await trio.sleep(self.request_delay(relay))
-                        await link.send("POST", *head, body_of(row["mark"], arrival.body))
-                        await link.hear_all()
-                        return self.record_answer(link, name, relay)
-                except (*LOST, Refused):
+                        await connection.send("POST", *head, body_of(row["mark"], arrival.body))
+                        await connection.receive_all()
+                        return self.record_answer(connection, name, relay)
+                except (*CONNECTION_ERRORS, ProtocolError):
                     why = "closed" if why == "no answer" else why
-                    if reused and not link.call.begun:
-                        link.close()
+                    if reused and not connection.call.begun:
+                        connection.close()
                         continue
-                link.close()
+                connection.close()
                 break
         number = {} if why != "unreachable" else {"n": arrival.n}
         self.tell("dropped", self.clock(), id=name, relay=f"n{relay}", why=why, **number)
@@ -195,13 +195,13 @@
         """Returns the message's idempotency key, the same for all its tries."""
         return f"k{self.day.seed}-{arrival.n}"
 
-    def record_answer(self, link, name, relay):
+    def record_answer(self, connection, name, relay):
         """Records an answer and releases its connection; returns (status, nanoseconds to wait)."""
-        status, retry_after = link.call.status, link.call.headers.get("retry-after", "")
+        status, retry_after = connection.call.status, connection.call.headers.get("retry-after", "")
         after = int(float(retry_after) * S) if retry_after and math.isfinite(float(retry_after)) else 0
         self.tell("answer", self.clock(), id=name, relay=f"n{relay}", status=status, after=after)
-        if link.call.reusable():
-            self.idle[relay].append(link)
+        if connection.call.reusable():
+            self.idle[relay].append(connection)
         else:
-            link.close()
+            connection.close()
         return status, after
--- a/courseroute/town/hosts.py
+++ b/courseroute/town/hosts.py
@@ -16,8 +16,8 @@
 from courseroute.checked import span
 from courseroute.town.partner import Partner
 from courseroute.town.script import S
-from courseroute.wire.clients import gone
-from courseroute.wire.http import Door, Refused
+from courseroute.wire.clients import peer_closed
+from courseroute.wire.http import ProtocolError, ServerConnection
 
 HEAD, BODY = 16 << 10, 64 << 10
 MALFORMED_RESPONSES = (
@@ -27,7 +27,7 @@
     b"HTTP/1.1 503 Full\r\nContent-Length: 3000000000\r\n\r\n" + b"x" * 40000,
     b"HTTP/1.1 503 Full\r\nContent-Length: 9\r\n\r\nx",
 )
-LOST = (OSError, trio.BrokenResourceError, trio.ClosedResourceError)
+CONNECTION_ERRORS = (OSError, trio.BrokenResourceError, trio.ClosedResourceError)
 # SO_LINGER with a timeout of 0: close() sends a reset instead of an orderly shutdown.
 LINGER_ZERO = struct.pack("ii", 1, 0)
 LEFT_HOST_GRACE_NS = 8 * S  # a host that left still serves calls in flight for this long
@@ -115,7 +115,7 @@
         host.sockets[sock] = None
         try:
             await self.serve_connection(partner, endpoint, sock)
-        except (*LOST, Refused, EOFError):
+        except (*CONNECTION_ERRORS, ProtocolError, EOFError):
             pass
         finally:
             host.open -= 1
@@ -123,7 +123,7 @@
             sock.close()
 
     async def serve_connection(self, partner, endpoint, sock):
-        stream, parser, began, fresh = trio.SocketStream(sock), Door(HEAD, BODY), None, True
+        stream, parser, began, fresh = trio.SocketStream(sock), ServerConnection(HEAD, BODY), None, True
         host, idle = endpoint.host, span(partner.form.idle_close) / 1e9
         while True:
             request = parser.next()
@@ -204,12 +204,12 @@
         await stream.send_all(answer)
         if copied := partner.draw_fault(host, "answer-copied"):
             self.nursery.start_soon(self.copy_answer, sock, answer, c, span(copied.fault.by))
-        return not parser.over
+        return not parser.is_closed
 
     async def copy_answer(self, sock, answer, c, after):
         """Sends the response a second time after `after` nanoseconds, whatever the connection waits for."""
         await trio.sleep(after / 1e9)
-        with contextlib.suppress(*LOST):
+        with contextlib.suppress(*CONNECTION_ERRORS):
             await sock.send(answer)
             self.tell("copied", self.clock(), c=c)
 
@@ -240,7 +240,7 @@
 
     async def hold_unread(self, sock):
         """Leaves the connection unread until the relay closes it or the end of the fault resets it."""
-        while sock.fileno() >= 0 and not gone(sock):
+        while sock.fileno() >= 0 and not peer_closed(sock):
             await trio.sleep(0.1)
 
     # Faults.
--- a/courseroute/town/null.py
+++ b/courseroute/town/null.py
@@ -17,9 +17,9 @@
 from courseroute.checked import made, read
 from courseroute.run.setup import Setup
 from courseroute.town.hosts import BODY, HEAD
-from courseroute.wire.http import Door, Refused
-from courseroute.wire.link import LOST, Line, Link
-from courseroute.wire.words import notice_of, place_of, roster_of
+from courseroute.wire.connection import CONNECTION_ERRORS, Connection, PersistentConnection
+from courseroute.wire.http import ProtocolError, ServerConnection
+from courseroute.wire.protocol import parse_address, parse_endpoint_list, parse_message
 
 TIMEOUT_NS = 1_000_000_000  # of a call with notices; a call for the list gets 30 times that
 
@@ -33,10 +33,10 @@
 
     async def run(self):
         """Serves until SIGTERM."""
-        self.directory = Line(place_of(self.setup.directory), HEAD, 4 << 20)
+        self.directory = PersistentConnection(parse_address(self.setup.directory), HEAD, 4 << 20)
         listener = trio.socket.socket()
         listener.setsockopt(trio.socket.SOL_SOCKET, trio.socket.SO_REUSEADDR, 1)
-        await listener.bind(place_of(self.setup.listen))
+        await listener.bind(parse_address(self.setup.listen))
         async with trio.open_nursery() as self.nursery:
             self.index = None
             await self.refresh_endpoints()
@@ -54,7 +54,7 @@
         _, body = await self.directory.exchange(
             30 * TIMEOUT_NS, "GET", f"/v1/endpoints{query}", [("Host", "d")]
         )
-        self.index, _, entries, addresses = roster_of(orjson.loads(body), False)
+        self.index, _, entries, addresses = parse_endpoint_list(orjson.loads(body), False)
         for name, state, _, _, _, dst in entries:
             self.status[name] = state
             hosts = self.hosts.setdefault(dst, {})
@@ -71,7 +71,7 @@
         while True:
             try:
                 await self.refresh_endpoints()
-            except (*LOST, Refused, ValueError):
+            except (*CONNECTION_ERRORS, ProtocolError, ValueError):
                 await trio.sleep(0.2)
 
     async def accept(self, listener):
@@ -80,16 +80,16 @@
             self.nursery.start_soon(self.client, sock)
 
     async def client(self, sock):
-        stream, parser = trio.SocketStream(sock), Door(HEAD, BODY)
+        stream, parser = trio.SocketStream(sock), ServerConnection(HEAD, BODY)
         try:
             while True:
                 if (request := parser.next()) is None:
                     parser.feed(await stream.receive_some(BODY))
                     continue
                 await stream.send_all(parser.answer(*await self.answer(request)))
-                if parser.over:
+                if parser.is_closed:
                     return
-        except (*LOST, Refused, EOFError):
+        except (*CONNECTION_ERRORS, ProtocolError, EOFError):
             pass
         finally:
             sock.close()
@@ -98,7 +98,7 @@
         """Handles one request and returns (status, headers, body)."""
         if request.target == "/ready":
             return 200, (), b""
-        message = notice_of(request, self.lanes, 256)
+        message = parse_message(request, self.lanes, 256)
         message["body"] = bytes(message["body"])
         return await self.accept_message(message), (), b""
 
@@ -116,10 +116,10 @@
     async def call(self, message, address):
         """Returns (status, headers) of the host's answer, or (0, {}) without one."""
         idle = self.idle.setdefault(address, [])
-        link = idle.pop() if idle else None
+        connection = idle.pop() if idle else None
         try:
-            if link is None:
-                link = await Link(HEAD, BODY).dial(address)
+            if connection is None:
+                connection = await Connection(HEAD, BODY).connect(address)
             head = [
                 ("Host", "origin"),
                 ("X-Request-Id", message["name"]),
@@ -127,24 +127,24 @@
                 ("Idempotency-Key", message["mark"]),
             ]
             with trio.move_on_after(3):
-                await link.send("POST", "/hook", head, message["body"])
-                await link.hear_all()
-                status, headers = link.call.status, link.call.headers
-                if link.call.reusable():
-                    idle.append(link)
-                    link = None
+                await connection.send("POST", "/hook", head, message["body"])
+                await connection.receive_all()
+                status, headers = connection.call.status, connection.call.headers
+                if connection.call.reusable():
+                    idle.append(connection)
+                    connection = None
                 return status, headers
-        except (*LOST, Refused):
+        except (*CONNECTION_ERRORS, ProtocolError):
             pass
         finally:
-            if link is not None:
-                link.close()
+            if connection is not None:
+                connection.close()
         return 0, {}
 
     async def notice(self, message, state, after=0):
         """Sends one notice to the platform; `after` in milliseconds."""
         line = orjson.dumps({"id": message["name"], "state": state, "after_ms": after}) + b"\n"
-        await Line(self.directory.place, HEAD, BODY).exchange(
+        await PersistentConnection(self.directory.address, HEAD, BODY).exchange(
             TIMEOUT_NS, "POST", "/v1/notices", [("Host", "p")], line
         )
 
--- a/courseroute/town/platform.py
+++ b/courseroute/town/platform.py
@@ -10,8 +10,8 @@
 import orjson
 import trio
 
-from courseroute.town.hosts import BODY, HEAD, LOST, abort
-from courseroute.wire.http import Door, Refused
+from courseroute.town.hosts import BODY, CONNECTION_ERRORS, HEAD, abort
+from courseroute.wire.http import ProtocolError, ServerConnection
 
 S = 1_000_000_000
 MAX_WATCH_MS = 60_000  # upper bound of the `wait` that a long poll may ask for
@@ -126,7 +126,7 @@
     async def connection(self, listener, sock, relay):
         """Answers the requests of one connection, one after another."""
         self.connections[listener].add(sock)
-        stream, parser = trio.SocketStream(sock), Door(HEAD, BODY)
+        stream, parser = trio.SocketStream(sock), ServerConnection(HEAD, BODY)
         try:
             while True:
                 request = parser.next()
@@ -134,9 +134,9 @@
                     parser.feed(await stream.receive_some(BODY))
                     continue
                 await stream.send_all(self.encode_answer(parser, await self.answer(request, relay)))
-                if parser.over:
+                if parser.is_closed:
                     return
-        except (*LOST, Refused, EOFError):
+        except (*CONNECTION_ERRORS, ProtocolError, EOFError):
             pass
         finally:
             self.connections[listener].discard(sock)
--- a/courseroute/town/scripted.py
+++ b/courseroute/town/scripted.py
@@ -59,7 +59,7 @@
         else:
             status, headers, *body = plan
             await stream.send_all(parser.answer(status, list(headers.items()), *body))
-            return not parser.over
+            return not parser.is_closed
         return False
 
 
--- a/courseroute/wire/clients.py
+++ b/courseroute/wire/clients.py
@@ -1,4 +1,4 @@
-"""Serves the clients' connections: reads requests, passes them to the coordinator, writes its answers."""
+"""Serves the clients' connections: reads requests, passes them to the tracker, writes its answers."""
 
 import errno
 import os
@@ -7,8 +7,8 @@
 
 import trio
 
-from courseroute.wire.http import Door, Refused
-from courseroute.wire.unread import ns_since_last_byte
+from courseroute.wire.http import ProtocolError, ServerConnection
+from courseroute.wire.socket_probe import ns_since_last_byte
 
 RESOURCE_ERRORS = (errno.EMFILE, errno.ENFILE, errno.ENOMEM, errno.ENOBUFS)
 ACCEPT_RETRY_S = 0.05
@@ -43,13 +43,13 @@
     `max_served` connections are served, `max_refused` more get a 503 for their request, further ones at once.
     """
 
-    def __init__(self, desk, limits, listener, max_served, max_refused, max_partial_bytes, log):
-        self.desk, self.limits, self.listener, self.log = desk, limits, listener, log
+    def __init__(self, tracker, limits, listener, max_served, max_refused, max_partial_bytes, log):
+        self.tracker, self.limits, self.listener, self.log = tracker, limits, listener, log
         self.max_served, self.max_refused = max_served, max_refused
         self.partial_bytes_left = max_partial_bytes
         # In a request, between two.
         self.read_timeouts = limits["read_timeout"] / 1e9, limits["idle_timeout"] / 1e9
-        self.open = set()
+        self.open_connections = set()
         # Connections waiting for their first request, and those waiting for another one; used as ordered
         # sets.
         self.silent, self.idle = {}, {}
@@ -80,7 +80,7 @@
 
     async def handle_connection(self, sock):
         connection = ClientConnection(
-            sock, Door(self.limits["max_head_bytes"], self.limits["max_body_bytes"])
+            sock, ServerConnection(self.limits["max_head_bytes"], self.limits["max_body_bytes"])
         )
         try:
             await self.admit(connection)
@@ -95,24 +95,24 @@
 
     async def admit(self, connection):
         """Serves a connection. One beyond the limit gets a 503 for its request, one far beyond it at once."""
-        is_extra = len(self.open) >= self.max_served and not self.evict_waiting()
+        is_extra = len(self.open_connections) >= self.max_served and not self.evict_waiting()
         if is_extra and not self.at_limit:
             self.at_limit = True
-            self.log("full of connections", open=len(self.open))
-        elif len(self.open) < self.max_served - self.max_refused:
+            self.log("full of connections", open=len(self.open_connections))
+        elif len(self.open_connections) < self.max_served - self.max_refused:
             self.at_limit = False
-        if len(self.open) >= self.max_served + self.max_refused:
+        if len(self.open_connections) >= self.max_served + self.max_refused:
             # Written without trio: the socket does not block.
             os.write(connection.sock.fileno(), connection.http.answer(503, close=True))
             connection.sock.shutdown(socket.SHUT_WR)
         else:
-            self.open.add(connection)
+            self.open_connections.add(connection)
             await self.serve_requests(connection, is_extra)
 
     def forget(self, connection):
         self.silent.pop(connection, None)
         self.idle.pop(connection, None)
-        self.open.discard(connection)
+        self.open_connections.discard(connection)
 
     def evict_waiting(self):
         """Closes the connection that has waited longest without a request, so that idle connections cannot
@@ -150,17 +150,19 @@
                 self.count_partial(connection, 0)
                 connection.request_started, connection.has_sent_request = None, True
                 if is_extra:
-                    raise Refused(503, "no room for more connections")
+                    raise ProtocolError(503, "no room for more connections")
                 unread = ns_since_last_byte(connection.sock)
-                status, headers, body = self.desk.handle_request(request, gone(connection.sock), unread)
+                status, headers, body = self.tracker.handle_request(
+                    request, peer_closed(connection.sock), unread
+                )
                 if status == 202:
-                    await self.desk.settled()
+                    await self.tracker.wait_synced()
                 await self.write(
                     stream, http.answer(status, headers, body, close=self.closing or connection.is_closing)
                 )
-                if http.over:
+                if http.is_closed:
                     return
-        except Refused as cause:
+        except ProtocolError as cause:
             await self.write(stream, http.answer(cause.status, body=f"{cause}\n".encode(), close=True))
             # Closing a socket with unread bytes resets the connection, and the answer could be lost.
             with trio.move_on_after(self.limits["closing_grace"] / 1e9):
@@ -171,8 +173,9 @@
             pass
 
     async def read(self, connection):
-        """Reads once. Raises EOFError or Refused where nothing came in time; the timeout is shorter while a
-        request is awaited, so that a client that sends slowly or nothing does not keep its connection."""
+        """Reads once. Raises EOFError or ProtocolError where nothing came in time; the timeout is shorter
+        while a request is awaited, so that a client that sends slowly or nothing does not keep its
+        connection."""
         http, data, now = connection.http, None, trio.current_time()
         if connection.is_closing:
             raise EOFError
@@ -190,13 +193,13 @@
         waiting.pop(connection, None)
         if data is None:
             if http.begun and not connection.is_closing:
-                raise Refused(408, "the request did not come in time")
+                raise ProtocolError(408, "the request did not come in time")
             raise EOFError
         if connection.request_started is None:
             connection.request_started = trio.current_time()
         http.feed(data)
         if not self.count_partial(connection, connection.partial_bytes + len(data)):
-            raise Refused(503, "no room for more half-read requests")
+            raise ProtocolError(503, "no room for more half-read requests")
         if interim := http.continue_response():
             await self.write(connection.stream, interim)
 
@@ -207,15 +210,15 @@
         if scope.cancelled_caught:
             raise EOFError
 
-    def close_idle(self, silent_too=False):
-        """Closes idle connections, the others after their next answer; with `silent_too` also those that wait
-        for their first request."""
+    def close_idle(self, include_silent=False):
+        """Closes idle connections, the others after their next answer; with `include_silent` also those that
+        wait for their first request."""
         self.closing = True
-        for connection in [*self.idle, *(self.silent if silent_too else ())]:
+        for connection in [*self.idle, *(self.silent if include_silent else ())]:
             self.close_waiting(connection)
 
 
-def gone(sock):
+def peer_closed(sock):
     """Whether the peer has shut down its sending side or reset the connection. A client that did so keeps the
     responsibility for its message."""
     return poll_socket(sock, select.POLLRDHUP)
--- a/courseroute/wire/link.py
+++ b/courseroute/wire/connection.py
@@ -10,19 +10,19 @@
 
 import trio
 
-from courseroute.wire.http import HttpClientState, Refused
-from courseroute.wire.unread import peek_unread
+from courseroute.wire.http import HttpClientState, ProtocolError
+from courseroute.wire.socket_probe import peek_unread
 
 # Errors of a broken connection.
-LOST = (OSError, EOFError, trio.BrokenResourceError, trio.ClosedResourceError)
+CONNECTION_ERRORS = (OSError, EOFError, trio.BrokenResourceError, trio.ClosedResourceError)
 ANSWER_STALL_S = 0.5  # an answer that started, and of which nothing more comes for so long, has failed
 # Quiet period: an idle connection is not used for so long after an answer. Bytes that arrive in it belong to
 # no call, and the connection is closed.
 QUIET_PERIOD_NS = 100_000_000
 # Longer after a refusal, as a late duplicate of one would have the next message sent twice.
 QUIET_PERIOD_AFTER_REFUSAL_NS = 250_000_000
-# Shorter for a Line: its calls to discovery must follow each other closely.
-LINE_QUIET_PERIOD_NS = 50_000_000
+# Shorter for a PersistentConnection: its calls to discovery must follow each other closely.
+PERSISTENT_QUIET_PERIOD_NS = 50_000_000
 LINGER_RESET = struct.pack("ii", 1, 0)  # SO_LINGER on, with no time: closing resets the connection
 
 
@@ -35,9 +35,9 @@
     answered_at: int
 
 
-class Link:
-    """An outgoing connection. Its methods raise one of LOST where the connection breaks, and Refused where
-    the answer is malformed."""
+class Connection:
+    """An outgoing connection. Its methods raise one of CONNECTION_ERRORS where the connection breaks, and
+    ProtocolError where the answer is malformed."""
 
     def __init__(self, head_limit, body_limit, keep_body=True):
         self.call = HttpClientState(head_limit, body_limit, keep_body)
@@ -46,10 +46,10 @@
         self.stream = None
         self.last_exchange = None  # the last answered call, for the log
 
-    async def dial(self, place):
+    async def connect(self, address):
         """Connects to an address (host, port) and returns itself; a failure closes the socket."""
         try:
-            await self.socket.connect(place)
+            await self.socket.connect(address)
         except BaseException:
             self.close()
             raise
@@ -60,14 +60,14 @@
         """Starts a call and writes its request."""
         await self.stream.send_all(self.call.begin(method, target, headers, body) + body)
 
-    async def hear(self):
+    async def receive(self):
         """Reads once and passes the bytes to the HTTP state."""
         self.call.feed(await self.stream.receive_some(self.max_read))
 
-    async def hear_all(self):
+    async def receive_all(self):
         """Reads until the answer is complete."""
         while not self.call.done:
-            await self.hear()
+            await self.receive()
 
     def unacknowledged(self):
         """Bytes written that the peer's kernel has not acknowledged; 0 where the own kernel does not report
@@ -87,56 +87,64 @@
         self.socket.close()
 
 
-class Line:
+class PersistentConnection:
     """A persistent connection to one address, for one call at a time. It is opened at the first call, and
     again when it broke or the address changed. Times are trio's, in seconds."""
 
-    def __init__(self, place, head_limit, body_limit):
-        self.place, self.limits, self.link, self.connected_place = place, (head_limit, body_limit), None, None
+    def __init__(self, address, head_limit, body_limit):
+        self.address, self.limits, self.open_connection, self.connected_address = (
+            address,
+            (head_limit, body_limit),
+            None,
+            None,
+        )
         self.first_byte_at = None  # of the last call's answer, None before it
         self.answered_at = None  # end of the last answer
         self.was_first = True  # whether that answer was the first one on its connection
 
     async def exchange(self, within, method, target, headers, body=b""):
-        """Makes a call: (status, body) of the answer. `within`: nanoseconds. Raises one of LOST or Refused
-        where no answer came in time."""
+        """Makes a call: (status, body) of the answer. `within`: nanoseconds. Raises one of CONNECTION_ERRORS
+        or ProtocolError where no answer came in time."""
         self.first_byte_at = None
         await self.wait_quiet_period()
-        reused = self.link is not None
+        reused = self.open_connection is not None
         try:
             with trio.move_on_after(within / 1e9):
                 if not reused:
-                    self.connected_place = self.place
-                    self.link = await Link(*self.limits).dial(self.place)
-                await self.link.send(method, target, headers, body)
+                    self.connected_address = self.address
+                    self.open_connection = await Connection(*self.limits).connect(self.address)
+                await self.open_connection.send(method, target, headers, body)
                 await self.receive_answer()
-                answer = self.link.call.status, self.link.call.body()
+                answer = self.open_connection.call.status, self.open_connection.call.body()
                 self.answered_at, self.was_first = trio.current_time(), not reused
-                if not self.link.call.reusable():
+                if not self.open_connection.call.reusable():
                     self.close()
                 return answer
-        except (*LOST, Refused):
+        except (*CONNECTION_ERRORS, ProtocolError):
             self.close()
             if reused and self.first_byte_at is None:  # the peer may have closed the idle connection
                 return await self.exchange(within, method, target, headers, body)
             raise
         self.close()
-        raise Refused(408, "no answer in time")
+        raise ProtocolError(408, "no answer in time")
 
     async def wait_quiet_period(self):
         """Waits for the end of the quiet period after the last answer. Closes the connection if bytes arrived
         since, the peer closed it, or the address changed."""
-        if self.link is None:
+        if self.open_connection is None:
             return
-        await trio.sleep(max(0, self.answered_at + LINE_QUIET_PERIOD_NS / 1e9 - trio.current_time()))
-        if self.connected_place != self.place or (
-            self.link is not None and peek_unread(self.link.socket) is not None
+        await trio.sleep(max(0, self.answered_at + PERSISTENT_QUIET_PERIOD_NS / 1e9 - trio.current_time()))
+        if self.connected_address != self.address or (
+            self.open_connection is not None and peek_unread(self.open_connection.socket) is not None
         ):
             self.close()
 
     def is_usable(self):
         """Whether there is an open connection whose quiet period is over."""
-        return self.link is not None and trio.current_time() >= self.answered_at + LINE_QUIET_PERIOD_NS / 1e9
+        return (
+            self.open_connection is not None
+            and trio.current_time() >= self.answered_at + PERSISTENT_QUIET_PERIOD_NS / 1e9
+        )
 
     async def is_answer_certain(self):
         """Whether the last answer belongs to its call for certain: the first one on a connection does, and
@@ -145,19 +153,19 @@
         if self.was_first:
             return True
         await self.wait_quiet_period()
-        return self.link is not None
+        return self.open_connection is not None
 
     async def receive_answer(self):
-        call = self.link.call
+        call = self.open_connection.call
         while not call.done:
             with trio.move_on_after(ANSWER_STALL_S if call.begun else math.inf) as scope:
-                await self.link.hear()
+                await self.open_connection.receive()
             if scope.cancelled_caught:
-                raise Refused(408, "the answer stands still")
+                raise ProtocolError(408, "the answer stands still")
             if self.first_byte_at is None and call.begun:
                 self.first_byte_at = trio.current_time()
 
     def close(self):
-        if self.link is not None:
-            self.link.close()
-            self.link = None
+        if self.open_connection is not None:
+            self.open_connection.close()
+            self.open_connection = None
--- a/courseroute/wire/discovery.py
+++ b/courseroute/wire/discovery.py
@@ -3,9 +3,9 @@
 import orjson
 import trio
 
-from courseroute.wire.http import Refused
-from courseroute.wire.link import LOST, Line
-from courseroute.wire.words import UNITS, roster_of
+from courseroute.wire.connection import CONNECTION_ERRORS, PersistentConnection
+from courseroute.wire.http import ProtocolError
+from courseroute.wire.protocol import UNITS, parse_endpoint_list
 
 MAX_NAMES_LOGGED = 16  # endpoints that are draining or gone, named in one line of the log
 MAX_PROCESSING_NS = 1_000_000_000  # longest time that discovery spends on a call, apart from its wait
@@ -35,7 +35,7 @@
         if status != 200:
             raise UnexpectedStatus(f"status {status}")
         try:
-            index, *answer = roster_of(orjson.loads(body), self.listed_rates)
+            index, *answer = parse_endpoint_list(orjson.loads(body), self.listed_rates)
         except ValueError:
             self.index = None
             raise
@@ -61,17 +61,17 @@
 
 
 class Discovery:
-    """Makes the calls and passes the lists to the coordinator and to the drivers of the hosts.
+    """Makes the calls and passes the lists to the tracker and to the drivers of the hosts.
 
-    `keep(scope, entries, addresses)` is called for each list too, where the relay saves it.
+    `on_endpoints(scope, entries, addresses)` is called for each list too, where the relay saves it.
     """
 
-    def __init__(self, nursery, desk, hosts, limits, place, watch, clock, log):
-        self.nursery, self.desk, self.hosts, self.limits = nursery, desk, hosts, limits
-        self.place, self.watch, self.clock, self.log = place, watch, clock, log
+    def __init__(self, nursery, tracker, hosts, limits, address, watch, clock, log):
+        self.nursery, self.tracker, self.hosts, self.limits = nursery, tracker, hosts, limits
+        self.address, self.watch, self.clock, self.log = address, watch, clock, log
         self.call = None  # the ListCall under way
         self.idle_connection = None  # that of the last answer, until the next call
-        self.keep = None
+        self.on_endpoints = None
         self.answered_at, self.failures = None, 0  # time of the last answer, failed calls since then
 
     def request_list(self, wait):
@@ -90,35 +90,37 @@
         self.nursery.start_soon(self.make_call, self.call)
 
     def new_connection(self):
-        return Line(self.place, self.limits["max_head_bytes"], self.limits["max_list_bytes"])
+        return PersistentConnection(
+            self.address, self.limits["max_head_bytes"], self.limits["max_list_bytes"]
+        )
 
-    def move(self, place):
+    def set_address(self, address):
         """Sets discovery's address. A call under way is abandoned, and the new address is called at once."""
         # Versions are valid at one address only: the whole list is requested.
-        self.place, self.watch.index = place, None
+        self.address, self.watch.index = address, None
         if self.call:
             self.abandon_call()
         if self.idle_connection:
             self.idle_connection.close()
             self.idle_connection = None
-        self.desk.tell("discovery_moved")
+        self.tracker.notify_dispatcher("discovery_moved")
 
     def abandon_call(self):
         self.call.scope.cancel()
         self.call = None
 
-    def learn(self, scope, entries, where, as_of=None):
-        """Applies a list. `scope`: full, changes or saved; `where`: host -> address; `as_of`: when the list
-        was current, None for now."""
+    def apply_endpoints(self, scope, entries, addresses, as_of=None):
+        """Applies a list. `scope`: full, changes or saved; `addresses`: host -> address; `as_of`: when the
+        list was current, None for now."""
         if scope == "full":  # no connection to hosts that left: their address may belong to another host
-            self.hosts.where.clear()
-        self.hosts.where.update(where)
+            self.hosts.addresses.clear()
+        self.hosts.addresses.update(addresses)
         for name, state, *_ in entries:
             if state == "gone":
-                self.hosts.where.pop(name, None)
-        self.desk.tell("update_endpoints", scope, entries, as_of)
-        if self.keep:
-            self.keep(scope, entries, where)
+                self.hosts.addresses.pop(name, None)
+        self.tracker.notify_dispatcher("update_endpoints", scope, entries, as_of)
+        if self.on_endpoints:
+            self.on_endpoints(scope, entries, addresses)
 
     async def make_call(self, call):
         """Makes a call and handles its answer or failure, unless it was abandoned meanwhile."""
@@ -133,7 +135,7 @@
                 )
                 if call is self.call:
                     answer = self.watch.parse_answer(*received)
-        except (*LOST, Refused, ValueError) as error:
+        except (*CONNECTION_ERRORS, ProtocolError, ValueError) as error:
             cause = error
         if call is not self.call:
             call.connection.close()
@@ -145,7 +147,7 @@
     def handle_answer(self, call, answer):
         self.call, self.idle_connection = None, call.connection
         self.log_answer(call, *answer)
-        self.learn(*answer, call.as_of(self.clock()))
+        self.apply_endpoints(*answer, call.as_of(self.clock()))
 
     def handle_failure(self, call, cause):
         """Tells the dispatcher how a call failed. `spoilt`: an answer came that cannot be parsed, with the
@@ -156,9 +158,9 @@
         self.log_failure(call, str(cause)[:200] or type(cause).__name__)
         if call.connection.first_byte_at is not None and not isinstance(cause, UnexpectedStatus):
             since_written = int((trio.current_time() - call.connection.first_byte_at) * 1e9)
-            self.desk.tell("update_endpoints", "spoilt", [], self.clock() - since_written)
+            self.tracker.notify_dispatcher("update_endpoints", "spoilt", [], self.clock() - since_written)
         else:
-            self.desk.tell("update_endpoints", "ended" if call.continues else "failed", [])
+            self.tracker.notify_dispatcher("update_endpoints", "ended" if call.continues else "failed", [])
 
     def list_state(self):
         """Log fields on how current the list is; its age is the time since discovery's last answer."""
--- a/courseroute/wire/hosts.py
+++ b/courseroute/wire/hosts.py
@@ -6,15 +6,15 @@
 import trio
 
 from courseroute.model.causes import ConnectionCloseCause, HoldCause
-from courseroute.wire import words
-from courseroute.wire.http import Refused
-from courseroute.wire.link import (
-    LOST,
+from courseroute.wire import protocol
+from courseroute.wire.connection import (
+    CONNECTION_ERRORS,
     QUIET_PERIOD_AFTER_REFUSAL_NS,
     QUIET_PERIOD_NS,
+    Connection,
     Exchange,
-    Link,
 )
+from courseroute.wire.http import ProtocolError
 
 # Errors of a connection that had been established.
 BROKEN_CONNECTION_ERRORS = (ConnectionResetError, BrokenPipeError, trio.BrokenResourceError, EOFError)
@@ -24,14 +24,14 @@
 
 
 class Hosts:
-    """Runs the attempts. Each ends in one `desk.returned`; it may have run on its host once its last byte was
-    written."""
+    """Runs the attempts. Each ends in one `tracker.attempt_ended`; it may have run on its host once its last
+    byte was written."""
 
-    def __init__(self, nursery, desk, pool, limits, terms, clock, log):
-        self.nursery, self.desk, self.pool, self.limits, self.clock = nursery, desk, pool, limits, clock
+    def __init__(self, nursery, tracker, pool, limits, terms, clock, log):
+        self.nursery, self.tracker, self.pool, self.limits, self.clock = nursery, tracker, pool, limits, clock
         self.connect_within = terms.get("connect_within", limits["write_timeout"])
         self.log = log
-        self.where, self.cancel_scopes = {}, {}  # host -> address; (message's name, n) -> scope
+        self.addresses, self.cancel_scopes = {}, {}  # host -> address; (message's name, n) -> scope
         self.last_delivery = {}  # host -> the Answer to its last delivery that had a body
         # Hosts whose deliveries have different bodies, so that an equal answer is a duplicate.
         self.with_distinct_answers = set()
@@ -58,22 +58,22 @@
         try:
             with scope:
                 await attempt.run()
-        except (*LOST, Refused, trio.TooSlowError) as cause:
+        except (*CONNECTION_ERRORS, ProtocolError, trio.TooSlowError) as cause:
             attempt.connection_broke = isinstance(cause, BROKEN_CONNECTION_ERRORS)
         except Exception as cause:  # an unexpected answer must not stop the relay
             self.log("call failed", host=host, error=repr(cause)[:300])
         del self.cancel_scopes[(msg.name, n)]
-        if attempt.duplicates and not attempt.link.call.conclusive:
+        if attempt.duplicates and not attempt.connection.call.conclusive:
             # No other answer came, so what was discarded was the answer and not a duplicate.
             self.with_distinct_answers.discard(host)
         outcome, report = self.outcome_of(attempt, scope)
         self.record_attempt(attempt, outcome[0])
         try:
             took = attempt.elapsed() if attempt.answered_ns is None else attempt.answered_ns
-            self.desk.returned(msg.name, n, host, *outcome, took, report, attempt.idle_ns)
-            if attempt.link and attempt.link.call.conclusive:
+            self.tracker.attempt_ended(msg.name, n, host, *outcome, took, report, attempt.idle_ns)
+            if attempt.connection and attempt.connection.call.conclusive:
                 await attempt.read_rest()
-        except (*LOST, Refused):
+        except (*CONNECTION_ERRORS, ProtocolError):
             pass
         finally:
             attempt.close()
@@ -82,12 +82,12 @@
         """((ending, wait, whether no further attempt may follow), load report or None). `wait`: the delay
         that the host asked for, in nanoseconds."""
         expired = self.clock() >= attempt.until
-        call = attempt.link and attempt.link.call
+        call = attempt.connection and attempt.connection.call
         if attempt.sent_ns is not None and (call.conclusive or call.first_line_status == 200):
             # The status line of a delivery is conclusive, whatever follows it.
             return (
-                words.classify_answer(call.first_line_status, call.headers),
-                words.parse_load_report(call.headers.get("x-load")),
+                protocol.classify_answer(call.first_line_status, call.headers),
+                protocol.parse_load_report(call.headers.get("x-load")),
             )
         if attempt.sent_ns is None:  # it surely did not run
             held = attempt.hold_cause or scope.cancelled_caught and not expired
@@ -103,10 +103,10 @@
     def record_attempt(self, attempt, ending):
         """Counts an attempt by its ending. Logs it with its times, unless it repeats no other and ended as
         most do."""
-        figures, repeated = self.desk.figures, attempt.repeated
-        figures.count("attempts", ending)
+        metrics, repeated = self.tracker.metrics, attempt.repeated
+        metrics.count("attempts", ending)
         if attempt.hold_cause:
-            figures.count("held attempts", attempt.hold_cause)
+            metrics.count("held attempts", attempt.hold_cause)
         if repeated is None and ending in ENDINGS_NOT_LOGGED:
             return
         fields = {"id": attempt.msg.name, "attempt": attempt.n, "host": attempt.host, "ending": ending}
@@ -128,10 +128,10 @@
             }
         self.log("attempt ended", **fields)
 
-    def record_closed_connection(self, link, cause, waiting=b""):
+    def record_closed_connection(self, connection, cause, waiting=b""):
         """Counts a closed connection; logs unexpected bytes on it, with the call that preceded them."""
-        self.desk.figures.count("host connections closed", cause)
-        previous = link.last_exchange
+        self.tracker.metrics.count("host connections closed", cause)
+        previous = connection.last_exchange
         if cause is ConnectionCloseCause.UNEXPECTED_BYTES and previous:
             self.log(
                 "bytes behind an answer",
@@ -145,13 +145,13 @@
     def record_duplicate_answer(self, attempt):
         """Counts and logs a duplicate of the previous answer that arrived in place of the call's own."""
         previous = attempt.previous_exchange
-        self.desk.figures.count("answers", "came twice")
+        self.tracker.metrics.count("answers", "came twice")
         self.log(
             "answer came twice",
             host=attempt.host,
             id=attempt.msg.name,
             call_before=previous and previous.id,
-            status=attempt.link.call.status,
+            status=attempt.connection.call.status,
             sent_ms=milliseconds(attempt.sent_ns),
             came_ms=milliseconds(attempt.answered_ns),
         )
@@ -164,14 +164,14 @@
         self.last_delivery[host] = answer
         if last is not None and last.checksum != answer.checksum:
             self.with_distinct_answers.add(host)
-        if len(self.last_delivery) > len(self.where):
+        if len(self.last_delivery) > len(self.addresses):
             self.forget_unlisted()
 
     def forget_unlisted(self):
         """Drops what is kept of hosts that left the list; their ids are never used again."""
-        self.with_distinct_answers &= self.where.keys()
+        self.with_distinct_answers &= self.addresses.keys()
         self.last_delivery = {
-            host: self.last_delivery[host] for host in self.last_delivery if host in self.where
+            host: self.last_delivery[host] for host in self.last_delivery if host in self.addresses
         }
 
     def unsent(self, msg, n, host):
@@ -181,7 +181,7 @@
 
     async def report_unsent(self, msg, n, host):
         await trio.sleep(self.limits["short_retry_delay"] / 1e9)
-        self.desk.returned(msg.name, n, host, "unsent", 0, False, 0, None)
+        self.tracker.attempt_ended(msg.name, n, host, "unsent", 0, False, 0, None)
 
 
 class Attempt:
@@ -191,8 +191,8 @@
     def __init__(self, hosts, msg, n, host, until):
         self.hosts, self.msg, self.n, self.host, self.until = hosts, msg, n, host, until
         self.started_at = hosts.clock()
-        self.repeated = hosts.desk.earlier_attempt(msg.name, n)
-        self.link = None
+        self.repeated = hosts.tracker.earlier_attempt(msg.name, n)
+        self.connection = None
         self.connected_ns = self.sent_ns = self.answered_ns = None
         self.hold_cause = None  # a HoldCause: why it was not sent
         self.connection_broke = False
@@ -207,17 +207,17 @@
     async def run(self):
         """Connects, sends the request and receives the answer, or sets `hold_cause`."""
         hosts = self.hosts
-        await hosts.desk.settled()
-        self.link, self.idle_ns = hosts.pool.take_idle(self.host)
-        self.previous_exchange = self.link and self.link.last_exchange
-        self.link = self.link or await self.connect()
-        if self.link is None:
+        await hosts.tracker.wait_synced()
+        self.connection, self.idle_ns = hosts.pool.take_idle(self.host)
+        self.previous_exchange = self.connection and self.connection.last_exchange
+        self.connection = self.connection or await self.connect()
+        if self.connection is None:
             self.hold_cause = HoldCause.NO_CONNECTION
             return
         self.connected_ns = self.elapsed()
         # Asked after all waits, and nothing is awaited between this and the write: the answer must be
         # current.
-        self.hold_cause = hosts.desk.hold_cause(self.msg.name, self.n)
+        self.hold_cause = hosts.tracker.hold_cause(self.msg.name, self.n)
         if self.hold_cause:
             return
         await self.send()
@@ -225,23 +225,23 @@
             return
         with trio.move_on_after(self.seconds_to_send()):
             return await self.receive_answer()
-        if self.link.unacknowledged():  # those bytes would reach the host when it is too late
+        if self.connection.unacknowledged():  # those bytes would reach the host when it is too late
             raise trio.BrokenResourceError
         await self.receive_answer()
 
     async def send(self):
         """Writes the request. When the time to do so is over the request stays incomplete and `hold_cause` is
         set."""
-        fields = words.call_headers(self.msg, self.until - self.hosts.clock())
+        fields = protocol.call_headers(self.msg, self.until - self.hosts.clock())
         with trio.move_on_after(self.seconds_to_send()):
-            await self.link.send("POST", "/hook", fields, self.msg.body)
+            await self.connection.send("POST", "/hook", fields, self.msg.body)
             self.sent_ns = self.elapsed()
         if self.sent_ns is None:
             self.hold_cause = HoldCause.WINDOW_CLOSED
 
     def seconds_to_send(self):
         """Seconds within which the last byte must be written."""
-        send_by = self.hosts.desk.send_by(self.msg.name, self.n)
+        send_by = self.hosts.tracker.send_by(self.msg.name, self.n)
         return math.inf if send_by is None else max(0, send_by - self.hosts.clock()) / 1e9
 
     async def receive_answer(self):
@@ -249,68 +249,70 @@
         await self.receive_conclusive()
         while await self.is_duplicate():
             self.hosts.record_duplicate_answer(self)
-            self.link.call.discard_answer()
+            self.connection.call.discard_answer()
             self.answered_ns, self.duplicates = None, self.duplicates + 1
             await self.receive_conclusive()
 
     async def receive_conclusive(self):
-        call, hosts = self.link.call, self.hosts
+        call, hosts = self.connection.call, self.hosts
         while not call.conclusive:  # an answer that started and then stalls raises TooSlowError
             with trio.fail_after(hosts.limits["answer_drain_timeout"] / 1e9 if call.begun else math.inf):
-                await self.link.hear()
+                await self.connection.receive()
             if self.answered_ns is None:
                 self.answered_ns = self.elapsed()
 
     async def is_duplicate(self):
         """Whether the answer is a duplicate of the previous one on this connection."""
-        call = self.link.call
+        call = self.connection.call
         if self.host not in self.hosts.with_distinct_answers or not call.repeats_previous_head():
             return False
         with (
-            contextlib.suppress(*LOST, Refused),
+            contextlib.suppress(*CONNECTION_ERRORS, ProtocolError),
             trio.move_on_after(self.hosts.limits["answer_drain_timeout"] / 1e9),
         ):
-            await self.link.hear_all()
+            await self.connection.receive_all()
         return call.repeats_previous_answer()
 
     async def connect(self):
         """A new connection; None where the host left the list or the pool is full. Raises TimeoutError where
         none is established in time."""
         hosts, established = self.hosts, False
-        place = hosts.where.get(self.host)
-        if place is None or not hosts.pool.reserve():
+        address = hosts.addresses.get(self.host)
+        if address is None or not hosts.pool.reserve():
             return None
         try:
             with trio.fail_after(hosts.connect_within / 1e9):
-                link = Link(hosts.limits["max_head_bytes"], hosts.limits["max_body_bytes"], keep_body=False)
-                await link.dial(place)
+                connection = Connection(
+                    hosts.limits["max_head_bytes"], hosts.limits["max_body_bytes"], keep_body=False
+                )
+                await connection.connect(address)
                 established = True
         except trio.TooSlowError:
             raise TimeoutError from None
         finally:
             if not established:
                 hosts.pool.release()
-        return link
+        return connection
 
     async def read_rest(self):
         """Reads the answer to its end, within limits of time and size, and returns the connection to the pool
         if it can be reused."""
-        call, now = self.link.call, self.hosts.clock()
-        self.link.last_exchange = Exchange(self.host, self.msg.name, call.status, now)
+        call, now = self.connection.call, self.hosts.clock()
+        self.connection.last_exchange = Exchange(self.host, self.msg.name, call.status, now)
         with trio.move_on_after(self.hosts.limits["answer_drain_timeout"] / 1e9):
-            await self.link.hear_all()
+            await self.connection.receive_all()
         self.hosts.compare_with_last_delivery(self.host, call)
         if call.reusable() and not self.duplicates:
             quiet_period = QUIET_PERIOD_NS if call.status == DELIVERED else QUIET_PERIOD_AFTER_REFUSAL_NS
-            self.hosts.pool.add_idle(self.host, self.link, quiet_period)
-            self.link = None
+            self.hosts.pool.add_idle(self.host, self.connection, quiet_period)
+            self.connection = None
 
     def close(self):
         """Closes the connection unless the pool has it."""
-        if self.link is not None:
-            call = self.link.call
-            self.hosts.pool.discard(self.link, self.close_cause(call), call.unexpected_bytes())
-            self.link = None
+        if self.connection is not None:
+            call = self.connection.call
+            self.hosts.pool.discard(self.connection, self.close_cause(call), call.unexpected_bytes())
+            self.connection = None
 
     def close_cause(self, call):
         """The ConnectionCloseCause of a connection that is not reused."""
--- a/courseroute/wire/http.py
+++ b/courseroute/wire/http.py
@@ -21,7 +21,7 @@
 }
 
 
-class Refused(Exception):
+class ProtocolError(Exception):
     """The peer's bytes are no acceptable request or answer; `status` is the status that answers a request."""
 
     def __init__(self, status, why):
@@ -38,7 +38,7 @@
         self.method, self.target, self.headers, self.body = method, target, headers, b""
 
 
-class Door:
+class ServerConnection:
     """The server's side of a connection: takes received bytes, gives requests, turns answers into bytes."""
 
     def __init__(self, head_limit, body_limit):
@@ -59,7 +59,7 @@
         try:
             self.h11.receive_data(data)
         except RuntimeError:  # bytes after the peer's shutdown
-            raise Refused(400, "bytes after the end") from None
+            raise ProtocolError(400, "bytes after the end") from None
 
     def next(self):
         """The next complete request, None if more bytes are needed; raises EOFError once the peer is done."""
@@ -67,7 +67,7 @@
             try:
                 event = self.h11.next_event()
             except (h11.RemoteProtocolError, ValueError) as cause:  # ValueError: too many digits in a length
-                raise Refused(getattr(cause, "error_status_hint", 400), str(cause)) from None
+                raise ProtocolError(getattr(cause, "error_status_hint", 400), str(cause)) from None
             if event is h11.NEED_DATA:
                 return None
             if event is h11.PAUSED or isinstance(event, h11.ConnectionClosed):
@@ -77,7 +77,7 @@
             elif isinstance(event, h11.Data):
                 self.size += len(event.data)
                 if self.size > self.body_limit:
-                    raise Refused(413, "body too large")
+                    raise ProtocolError(413, "body too large")
                 self.parts.append(event.data)
             elif isinstance(event, h11.EndOfMessage):
                 return self.finish_request()
@@ -85,15 +85,15 @@
     def begin_request(self, event):
         headers = {}
         if sum(len(name) + len(value) for name, value in event.headers) + len(event.target) > self.head_limit:
-            raise Refused(431, "head too large")  # h11 limits only heads that come in several reads
+            raise ProtocolError(431, "head too large")  # h11 limits only heads that come in several reads
         for name, value in event.headers:
             headers.setdefault(name.decode("latin-1"), value.decode("latin-1"))
         if "content-length" in headers and "transfer-encoding" in headers:
             # Request smuggling: a reader that uses the other length finds a request in the body.
-            raise Refused(400, "two lengths")
+            raise ProtocolError(400, "two lengths")
         length = headers.get("content-length", "0")
         if length.isdigit() and int(length) > self.body_limit:
-            raise Refused(413, "body too large")
+            raise ProtocolError(413, "body too large")
         self.request = Request(event.method.decode("latin-1"), event.target.decode("latin-1"), headers)
         self.parts, self.size, self.in_one_read = [], 0, "transfer-encoding" not in headers
 
@@ -114,7 +114,7 @@
         return self.h11.send(h11.InformationalResponse(status_code=100, headers=[], reason=b"Continue"))
 
     def answer(self, status, headers=(), body=b"", close=False):
-        """The bytes of an answer. Afterwards the machine takes the next request, or is `over`."""
+        """The bytes of an answer. Afterwards the machine takes the next request, or `is_closed` is set."""
         headers = [("Content-Length", str(len(body))), *headers]
         if close:
             headers.append(("Connection", "close"))
@@ -129,7 +129,7 @@
         return data
 
     @property
-    def over(self):
+    def is_closed(self):
         """Whether the connection cannot be used any more."""
         return self.h11.our_state in (h11.CLOSED, h11.MUST_CLOSE, h11.ERROR)
 
@@ -171,7 +171,7 @@
                 self.h11.send_with_data_passthrough(h11.Data(data=body))
             self.h11.send(h11.EndOfMessage())
         except h11.LocalProtocolError as cause:
-            raise Refused(400, str(cause)) from None
+            raise ProtocolError(400, str(cause)) from None
         return head
 
     def feed(self, data):
@@ -191,26 +191,26 @@
                     self.status = self.first_line_status = event.status_code
                     self.headers = {k.decode("latin-1"): v.decode("latin-1") for k, v in event.headers}
                     if int(self.headers.get("content-length", 0)) > self.body_limit:
-                        raise Refused(413, "answer too large")
+                        raise ProtocolError(413, "answer too large")
                 elif isinstance(event, h11.Data):
                     self.size += len(event.data)
                     if self.size > self.body_limit:
-                        raise Refused(413, "answer too large")
+                        raise ProtocolError(413, "answer too large")
                     self.checksum = zlib.crc32(event.data, self.checksum)
                     if self.keep_body:
                         self.parts.append(event.data)
                 elif isinstance(event, h11.EndOfMessage):
                     self.done = True
                     return
-        except (h11.RemoteProtocolError, RuntimeError, ValueError) as cause:  # as in Door.next
-            raise Refused(400, str(cause)) from None
+        except (h11.RemoteProtocolError, RuntimeError, ValueError) as cause:  # as in ServerConnection.next
+            raise ProtocolError(400, str(cause)) from None
 
     def read_first_line(self):
         """Rejects bytes that cannot start an answer at once; h11 would wait for the end of a head."""
         head = self.h11.trailing_data[0]
         found = FIRST_LINE.match(head)
         if not found and (b"\n" in head or not head.startswith(b"HTTP/1."[: len(head)])):
-            raise Refused(400, "no answer's first line")
+            raise ProtocolError(400, "no answer's first line")
         self.first_line_status = int(found[1]) if found else None
 
     @property
--- a/courseroute/wire/notices.py
+++ b/courseroute/wire/notices.py
@@ -10,9 +10,9 @@
 import orjson
 import trio
 
-from courseroute.wire.http import Refused
-from courseroute.wire.link import LOST, Line
-from courseroute.wire.words import UNITS
+from courseroute.wire.connection import CONNECTION_ERRORS, PersistentConnection
+from courseroute.wire.http import ProtocolError
+from courseroute.wire.protocol import UNITS
 
 MAX_CONNECTIONS = 8
 # The first calls with a notice follow each other at the short interval, the later ones at the long interval.
@@ -51,21 +51,22 @@
 
     def replaceable_at(self):
         """When the call may be cancelled to free its connection."""
-        is_connecting = self.connection.link is None
+        is_connecting = self.connection.open_connection is None
         return self.started_at + (
             CONNECTING_REPLACEABLE_AFTER_S if is_connecting else SENT_REPLACEABLE_AFTER_S
         )
 
 
 class Notices:
-    """The pending notices. Each accepted one is reported in one `desk.told_of`; at most MAX_CONNECTIONS calls
-    are out at once."""
+    """The pending notices. Each accepted one is reported in one `tracker.notices_accepted`; at most
+    MAX_CONNECTIONS calls are out at once."""
 
-    def __init__(self, desk, limits, place, log):
-        self.desk, self.limits, self.log = desk, limits, log
+    def __init__(self, tracker, limits, address, log):
+        self.tracker, self.limits, self.log = tracker, limits, log
         # Connections without a call, the most recently used at the end.
         self.free = [
-            Line(place, limits["max_head_bytes"], limits["max_body_bytes"]) for _ in range(MAX_CONNECTIONS)
+            PersistentConnection(address, limits["max_head_bytes"], limits["max_body_bytes"])
+            for _ in range(MAX_CONNECTIONS)
         ]
         self.connections = tuple(self.free)
         self.calls = []  # under way, the oldest first
@@ -82,10 +83,10 @@
         self.pending[name] = PendingNotice(orjson.dumps(fields) + b"\n", due=0.0)
         self.changed.set()
 
-    def move(self, place):
+    def set_address(self, address):
         """Sets the platform's address."""
         for connection in self.connections:
-            connection.place = place
+            connection.address = address
 
     async def serve(self):
         """Sends notices whenever some are due, until cancelled."""
@@ -137,7 +138,7 @@
         connection had been idle."""
         repeats = self.pending[names[0]].calls > 0
         open_ones = [connection for connection in self.free if connection.is_usable()]
-        closed_ones = [connection for connection in self.free if connection.link is None]
+        closed_ones = [connection for connection in self.free if connection.open_connection is None]
         connection = open_ones[-1] if open_ones and not repeats else (closed_ones or self.free)[0]
         self.free.remove(connection)
         if repeats:
@@ -169,7 +170,7 @@
         if status in (204, 400):  # a notice that was not understood would not be the next time either
             for name in pending:
                 del self.pending[name]
-            self.desk.told_of(pending)
+            self.tracker.notices_accepted(pending)
         else:
             self.retry_within(pending, at_most=self.limits["short_retry_delay"] / 1e9)
         if status not in (None, 204):
@@ -194,7 +195,7 @@
                 status = answered
             else:  # sent again on a new connection; a second delivery does no harm
                 self.log("notices told again", count=len(names), status=answered)
-        except (*LOST, Refused) as error:
+        except (*CONNECTION_ERRORS, ProtocolError) as error:
             self.record_failed_call(started_at, len(names), str(error)[:200] or type(error).__name__)
         self.set_failing(status is None)
         return status
@@ -208,7 +209,7 @@
 
     def record_failed_call(self, started_at, count, error):
         """Counts a call without an answer; logs it unless the previous call failed too."""
-        self.desk.figures.count("notice calls", "failed")
+        self.tracker.metrics.count("notice calls", "failed")
         if not self.failing:
             call_ms = round((trio.current_time() - started_at) * 1000)
             self.log("notice call failed", error=error, call_ms=call_ms, notices=count)
--- a/courseroute/wire/words.py
+++ b/courseroute/wire/protocol.py
@@ -4,7 +4,7 @@
 import re
 from urllib.parse import parse_qsl
 
-from courseroute.wire.http import Refused
+from courseroute.wire.http import ProtocolError
 
 UNITS = {"m": 1_000_000, "u": 1000}  # nanoseconds
 DURATION = re.compile(r"(\d{1,10}(?:\.\d{1,9})?)([mu])")
@@ -13,11 +13,11 @@
 
 
 def parse_duration(text):
-    """Nanoseconds of a duration such as 1500m (milliseconds) or 20u (microseconds); Refused where it is
+    """Nanoseconds of a duration such as 1500m (milliseconds) or 20u (microseconds); ProtocolError where it is
     none."""
     found = DURATION.fullmatch(text.strip())
     if not found:
-        raise Refused(400, "a span is a number and a unit")
+        raise ProtocolError(400, "a span is a number and a unit")
     return int(float(found[1]) * UNITS[found[2]])
 
 
@@ -26,18 +26,18 @@
     return f"{max(1, ns // UNITS['m'])}m"
 
 
-def notice_of(request, lanes, max_length):
-    """The fields of the message in a client's request; Refused where one is malformed. `max_length`: of names
-    and keys; a longer tenant or ordering key is cut, a longer id or idempotency key refused."""
+def parse_message(request, lanes, max_length):
+    """The fields of the message in a client's request; ProtocolError where one is malformed. `max_length`: of
+    names and keys; a longer tenant or ordering key is cut, a longer id or idempotency key refused."""
     path, _, query = request.target.partition("?")
     lane = path.lstrip("/").split("/")[0]
     headers = request.headers
     if lane not in lanes:
-        raise Refused(404, "no such class")
+        raise ProtocolError(404, "no such class")
     if request.method != "POST":
-        raise Refused(405, "messages are handed in by POST")
+        raise ProtocolError(405, "messages are handed in by POST")
     if headers.get("x-class", lane) != lane:
-        raise Refused(400, "class and path differ")
+        raise ProtocolError(400, "class and path differ")
     envelope = dict(
         pair.strip().partition("=")[::2] for pair in re.split("[;,]", headers.get("envelope", ""))
     )
@@ -47,16 +47,16 @@
         headers.get("idempotency-key", ""),
     )
     if not name or len(name) > max_length or NOT_PRINTABLE.search(name):
-        raise Refused(400, "X-Request-Id is missing or odd")
+        raise ProtocolError(400, "X-Request-Id is missing or odd")
     if not re.fullmatch(r"\d{1,9}", destination):
-        raise Refused(400, "Envelope names no destination")
+        raise ProtocolError(400, "Envelope names no destination")
     if len(idempotency_key) > max_length or NOT_PRINTABLE.search(idempotency_key):
-        raise Refused(400, "Idempotency-Key is odd")
+        raise ProtocolError(400, "Idempotency-Key is odd")
     return {
         "name": name,
         "dst": str(int(destination)),
         "lane": lane,
-        "left": parse_duration(headers.get("x-deadline", "")),
+        "time_left": parse_duration(headers.get("x-deadline", "")),
         "mark": idempotency_key,
         "customer": headers.get("x-tenant", "")[:max_length],
         "again": "x-retry" in headers,
@@ -114,19 +114,21 @@
     )
 
 
-def roster_of(answer, listed_rates):
+def parse_endpoint_list(answer, listed_rates):
     """(index, scope, entries, addresses) of discovery's list; raises ValueError where it is malformed."""
     try:
         entries = [parse_entry(entry, listed_rates) for entry in answer["endpoints"]]
         addresses = {
-            entry["name"]: place_of(entry["address"]) for entry in answer["endpoints"] if entry.get("address")
+            entry["name"]: parse_address(entry["address"])
+            for entry in answer["endpoints"]
+            if entry.get("address")
         }
         return int(answer["index"]), "full" if answer.get("snapshot") else "changes", entries, addresses
     except (KeyError, TypeError, AttributeError) as cause:
         raise ValueError(f"a list without {cause}") from None
 
 
-def place_of(address):
+def parse_address(address):
     """(host, port) of an address "host:port"."""
     host, _, port = address.rpartition(":")
     return host, int(port)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -144,7 +144,7 @@
         self.folder, self.relay, self.known = folder, None, known
         with socket.socket() as free_socket:
             free_socket.bind((address_of_worker(), 0))
-            self.relay_place = free_socket.getsockname()
+            self.relay_address = free_socket.getsockname()
         (folder / "state").mkdir()
         self.limits = {"cores": 1.0, "memory_mb": 192, "sockets": 1024, "disk_mb": 3} | (limits or {})
         self.settings = SETTINGS | {"family-info": SETTINGS["family-info"] | {"call-slots": slots}}
@@ -154,7 +154,7 @@
         known = {"index": 1, "snapshot": True, "endpoints": self.entries()} if self.known else None
         config = {
             "name": "n0",
-            "listen": "{}:{}".format(*self.relay_place),
+            "listen": "{}:{}".format(*self.relay_address),
             "seed": "8c1f30d27a5be964",
             "known": known,
             "discovery": "{}:{}".format(*self.discovery),
@@ -186,7 +186,7 @@
 
     def ask(self, method, path, headers=None, body=b"", within=2):
         """(status, headers) of the answer; (0, {}) if none came."""
-        connection = http.client.HTTPConnection(*self.relay_place, timeout=within)
+        connection = http.client.HTTPConnection(*self.relay_address, timeout=within)
         try:
             connection.request(method, path, body, headers or {})
             answer = connection.getresponse()
@@ -211,7 +211,7 @@
     def raw(self, data, within=3.0):
         """Sends raw bytes, or a list of byte strings and pauses in seconds; returns the bytes that came back
         until the connection ended or timed out."""
-        with socket.create_connection(self.relay_place, timeout=within) as sock:
+        with socket.create_connection(self.relay_address, timeout=within) as sock:
             received = b""
             try:
                 for part in data if isinstance(data, list) else [data]:
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -1,4 +1,4 @@
-"""The driver of attempts, with a stub for the coordinator and a local host."""
+"""The driver of attempts, with a stub for the tracker and a local host."""
 
 import contextlib
 import time
@@ -7,24 +7,24 @@
 import trio
 
 from courseroute.decide import RELAY_LIMITS
-from courseroute.state.figures import Figures
-from courseroute.state.pool import Pool
+from courseroute.state.metrics import Metrics
+from courseroute.state.pool import ConnectionPool
+from courseroute.wire.connection import Connection
 from courseroute.wire.hosts import Hosts
 from courseroute.wire.http import HttpClientState
-from courseroute.wire.link import Link
 
 SECOND_NS = 10**9
 ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 
 
-class Desk:
+class MessageTracker:
     """Allows every attempt and records the endings; `during_sync` runs while a sync is awaited."""
 
     def __init__(self, during_sync):
         self.during_sync = during_sync
-        self.figures, self.endings, self.over = Figures(), [], trio.Event()
+        self.metrics, self.endings, self.over = Metrics(), [], trio.Event()
 
-    async def settled(self):
+    async def wait_synced(self):
         await self.during_sync()
 
     def hold_cause(self, name, n):
@@ -36,7 +36,7 @@
     def earlier_attempt(self, name, n):
         return None
 
-    def returned(self, name, n, host, ending, *told):
+    def attempt_ended(self, name, n, host, ending, *told):
         self.endings.append(ending)
         self.over.set()
 
@@ -58,36 +58,36 @@
 
         async with trio.open_nursery() as nursery:
             listeners = await nursery.start(trio.serve_tcp, answer, 0)
-            place = ("127.0.0.1", listeners[0].socket.getsockname()[1])
-            pool = Pool(8, SECOND_NS * 9, time.monotonic_ns, lambda: SECOND_NS * 9)
-            desk = Desk(close_kept)
+            address = ("127.0.0.1", listeners[0].socket.getsockname()[1])
+            pool = ConnectionPool(8, SECOND_NS * 9, time.monotonic_ns, lambda: SECOND_NS * 9)
+            tracker = MessageTracker(close_kept)
             hosts = Hosts(
-                nursery, desk, pool, RELAY_LIMITS, {}, time.monotonic_ns, lambda *told, **more: None
+                nursery, tracker, pool, RELAY_LIMITS, {}, time.monotonic_ns, lambda *told, **more: None
             )
-            hosts.where["h"] = place
+            hosts.addresses["h"] = address
             assert pool.reserve()
             pool.add_idle(
                 "h",
-                await Link(
+                await Connection(
                     RELAY_LIMITS["max_head_bytes"], RELAY_LIMITS["max_body_bytes"], keep_body=False
-                ).dial(place),
+                ).connect(address),
             )
             while not accepted:
                 await trio.sleep(0.01)
             message = SimpleNamespace(name="a", body=b"x", idempotency_key="")
             hosts.call(message, 0, "h", time.monotonic_ns() + 5 * SECOND_NS)
-            await desk.over.wait()
+            await tracker.over.wait()
             nursery.cancel_scope.cancel()
-        return desk.endings
+        return tracker.endings
 
     assert trio.run(play) == ["delivered"]
 
 
 # Guards against a message counting as delivered by a duplicate answer, the first one on its connection.
 def test_a_hosts_answers_are_distinct_once_two_deliveries_differ_on_any_connections():
-    pool = Pool(8, SECOND_NS, time.monotonic_ns, lambda: SECOND_NS)
+    pool = ConnectionPool(8, SECOND_NS, time.monotonic_ns, lambda: SECOND_NS)
     hosts = Hosts(None, None, pool, RELAY_LIMITS, {}, time.monotonic_ns, None)
-    hosts.where = {"differs": None, "alike": None}
+    hosts.addresses = {"differs": None, "alike": None}
     answers = ("differs", b"1"), ("alike", b"1"), ("gone", b"1"), ("differs", b"2"), ("alike", b"1")
     for host, body in answers:
         call = HttpClientState(
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -201,12 +201,12 @@
 count = 0
 while not BOOK.dropped:
     count += 1
-    BOOK.say("phase", phase="x" * 500, count=count)
+    BOOK.log_event("phase", phase="x" * 500, count=count)
 for _ in range(4):
-    BOOK.say("phase", phase="lost")
+    BOOK.log_event("phase", phase="lost")
 print(count, file=sys.stderr, flush=True)
 sys.stdin.readline()
-BOOK.say("discovery failed", error="none")
+BOOK.log_event("discovery failed", error="none")
 """
 
 
--- a/tests/test_final_answers.py
+++ b/tests/test_final_answers.py
@@ -23,7 +23,7 @@
     platform_proxy = Proxy(town.discovery)
     town.platform_proxy, town.discovery = platform_proxy, platform_proxy.address
     town.start()
-    town.client_proxy = Proxy(town.relay_place)
+    town.client_proxy = Proxy(town.relay_address)
     yield town
     town.close()
     town.client_proxy.close()
@@ -34,10 +34,10 @@
     """Submits a message whose request takes `unseen_s` seconds to reach the relay. Returns its deadline on
     the monotonic clock and the status of the answer."""
     town.client_proxy.late_s = unseen_s
-    town.relay_place, direct = town.client_proxy.address, town.relay_place
+    town.relay_address, direct = town.client_proxy.address, town.relay_address
     begun = time.monotonic()
     status = town.hand_in("a", left=f"{TIME_LEFT_S * 1000:.0f}m")
-    town.relay_place = direct
+    town.relay_address = direct
     return begun + TIME_LEFT_S, status
 
 
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -145,11 +145,11 @@
     for at in range(3, uncut.calls, 3):
         disk, model = FaultyDisk(), torture.Model()
         disk.crash_at = at
-        desk = torture.start_tracker(disk, syncs=True)
+        tracker = torture.start_tracker(disk, syncs=True)
         try:
             for operation in operations:
-                model.apply(desk, *operation)
-                desk.log.sync()         # as in sync mode "each"
+                model.apply(tracker, *operation)
+                tracker.journal.sync()         # as in sync mode "each"
         except Crash:
             pass
         model.check(torture.start_tracker(disk.after(power_cut=True)))
@@ -211,16 +211,16 @@
 @pytest.mark.parametrize("code", [errno.ENOSPC, errno.EIO])
 def test_an_attempt_sent_after_an_unwritten_one_is_known_after_a_restart(code):
     disk, model = FaultyDisk(), torture.Model()
-    desk = torture.start_tracker(disk)
-    model.apply(desk, "accept", "m", 200)
+    tracker = torture.start_tracker(disk)
+    model.apply(tracker, "accept", "m", 200)
     disk.fails = {disk.calls + n: code for n in (1, 2)}     # the write, and the truncation that undoes it
-    model.apply(desk, "send", "m", 200)
+    model.apply(tracker, "send", "m", 200)
     disk.fails = {}
-    model.apply(desk, "send", "m", 200)
+    model.apply(tracker, "send", "m", 200)
     assert model.open_messages == {"m": [1]}
     again = torture.start_tracker(disk.after())
     model.check(again)
-    assert again.held["m"].legs[1][0] == "h" and again.dispatcher.taken["m"][1][2] is None
+    assert again.held["m"].attempts[1][0] == "h" and again.dispatcher.taken["m"][1][2] is None
 
 
 # Guards against an idempotency window that is counted from a later attempt than the first one, because the
@@ -237,10 +237,10 @@
 
 
 def test_damage_is_reported_by_range_and_attempts_it_may_hide_count_as_run(tmp_path):
-    desk = torture.start_tracker(Disk(tmp_path))
+    tracker = torture.start_tracker(Disk(tmp_path))
     model = torture.Model()
     for name in ("a", "b", "c"):
-        model.apply(desk, "accept", name, 50)
+        model.apply(tracker, "accept", name, 50)
     path = tmp_path / "seg-0000000001"
     data = bytearray(path.read_bytes())
     data[data.index(b'["b"') + 3] ^= 1
@@ -252,22 +252,22 @@
     assert again.dispatcher.taken["c"] == []        # accepted after the damaged range
     assert [event for event, _ in again.events] == ["journal damaged"] * 2
     assert (tmp_path / "bad-seg-0000000000").exists()
-    assert [(loss.segment, loss.size > 20) for loss in again.log.losses] == [(0, False), (1, True)]
+    assert [(loss.segment, loss.size > 20) for loss in again.journal.losses] == [(0, False), (1, True)]
 
 
 def test_a_body_cannot_contain_a_valid_record_behind_a_damaged_one():
     """A client that knows the format puts the closing record of another client's message into a body."""
     disk = FaultyDisk()
-    desk = torture.start_tracker(disk)
+    tracker = torture.start_tracker(disk)
     forged = b"".join(record(OVER, ["b", "over"]).sealed(salt) for salt in (0, 1, SALT))
-    message = {"name": "a", "dst": "7", "lane": "a", "left": 10 ** 10, "mark": "", "customer": "", "key": "",
-            "again": False}
-    assert desk.take(message | {"name": "b", "body": b"x"}, False)[0] == 202
-    assert desk.take(message | {"body": forged}, False)[0] == 202
+    message = {"name": "a", "dst": "7", "lane": "a", "time_left": 10 ** 10, "mark": "", "customer": "",
+            "key": "", "again": False}
+    assert tracker.accept(message | {"name": "b", "body": b"x"}, False)[0] == 202
+    assert tracker.accept(message | {"body": forged}, False)[0] == 202
     data = disk.files["seg-0000000001"]
     data[data.index(b'["a"') + 2] ^= 1
     again = torture.start_tracker(disk.after())
-    assert list(again.held) == ["b"] and not again.ends and len(again.log.losses) == 1
+    assert list(again.held) == ["b"] and not again.recent_ends and len(again.journal.losses) == 1
 
 
 def test_a_closed_unsynced_segment_is_synced_before_any_response():
@@ -319,10 +319,11 @@
                 torture.start_tracker(disk)
             except Crash:
                 pass
-            desk = torture.start_tracker(disk.after())
-            assert list(desk.held) == ["a"] and desk.held["a"].body == b"\nbody" and desk.owed == {
-                "c": ("failed", 0)} and desk.ends["b"] == "delivered"
-            assert not {"log", "log.new"} & set(desk.log.disk.files)
+            tracker = torture.start_tracker(disk.after())
+            assert list(tracker.held) == ["a"] and tracker.held["a"].body == b"\nbody"\
+                and tracker.pending_notices == {"c": ("failed", 0)}\
+                and tracker.recent_ends["b"] == "delivered"
+            assert not {"log", "log.new"} & set(tracker.journal.disk.files)
 
 
 # Learned state.
@@ -378,7 +379,7 @@
 
     async def message(syncer, one):
         journal.write(one)
-        await syncer.settled()
+        await syncer.wait_synced()
         syncs.append(len(disk.synced.get("seg-0000000001", b"")))
 
     async def run():
@@ -406,7 +407,7 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(syncer.serve)
             with trio.fail_after(2):
-                await syncer.settled()
+                await syncer.wait_synced()
             nursery.cancel_scope.cancel()
     trio.run(run)
     assert events == ["journal cannot be synced"]
@@ -419,31 +420,32 @@
 def folder(tmp_path):
     path = tmp_path / "state"
     path.mkdir()
-    desk, model = torture.start_tracker(Disk(path)), torture.Model()
+    tracker, model = torture.start_tracker(Disk(path)), torture.Model()
     for operation in torture.random_script(11, 150):
-        model.apply(desk, *operation)
-    desk.log.close()
-    return path, desk
+        model.apply(tracker, *operation)
+    tracker.journal.close()
+    return path, tracker
 
 
 def test_tools_report_the_state_of_a_folder_and_salvage_a_damaged_one(folder, tmp_path):
-    path, desk = folder
+    path, tracker = folder
     state = tools.state(path)
-    assert set(state["held"]) == set(desk.held) and set(state["owed"]) == set(desk.owed) and not state["bad"]
-    assert tools.verify(path) == [] and tools.stat(path)["held"] == len(desk.held)
+    assert set(state["held"]) == set(tracker.held) and set(state["owed"]) == set(tracker.pending_notices) \
+        and not state["bad"]
+    assert tools.verify(path) == [] and tools.stat(path)["held"] == len(tracker.held)
     assert all(orjson.loads(line)["kind"] for line in tools.lines(path))
     before, after = tools.compact(path, 60_000)
-    assert after < before and set(tools.state(path)["held"]) == set(desk.held)
+    assert after < before and set(tools.state(path)["held"]) == set(tracker.held)
     name, _, data = next(iter(tools.segments(path)))
-    first = next(iter(desk.held))
+    first = next(iter(tracker.held))
     data = bytearray(data)
     data[data.index(b'"%s"' % first.encode()) + 2] ^= 1
     (path / name).write_bytes(data)
     assert [one["kind"] for one in tools.verify(path)] == ["damaged"]
     bad = tools.salvage(path, tmp_path / "fresh")
     again = torture.start_tracker(Disk(tmp_path / "fresh"))
-    assert len(bad) == 1 and set(again.held) == set(desk.held) - {first}
-    assert set(again.owed) == set(desk.owed) and not again.log.losses
+    assert len(bad) == 1 and set(again.held) == set(tracker.held) - {first}
+    assert set(again.pending_notices) == set(tracker.pending_notices) and not again.journal.losses
     with pytest.raises(FileExistsError):
         tools.salvage(path, tmp_path / "fresh")
 
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -141,7 +141,7 @@
     town.hand_in("a", "notice", left="20000m")
     town.hand_in("b", "once", left="20000m")
     assert until(lambda: len(town.calls) == 2)
-    client = socket.create_connection(town.relay_place)
+    client = socket.create_connection(town.relay_address)
     client.sendall(b"GET /ready HTTP/1.1\r\nHost: r\r\n\r\n")
     assert b"200" in client.recv(1000)
     begun = time.time()
@@ -212,7 +212,7 @@
 
 def test_a_message_is_not_accepted_if_its_client_is_gone_before_the_answer(town):
     town.start()
-    with socket.create_connection(town.relay_place) as sock:
+    with socket.create_connection(town.relay_address) as sock:
         sock.sendall(HEAD + b"Content-Length: 2\r\n\r\nok")
         sock.shutdown(socket.SHUT_WR)
         assert b" 503 " in sock.recv(1000)
@@ -225,7 +225,7 @@
     town.start()
     town.relay.send_signal(signal.SIGSTOP)
     for _ in range(5):
-        with socket.create_connection(town.relay_place) as sock:
+        with socket.create_connection(town.relay_address) as sock:
             sock.sendall(HEAD + b"Content-Length: 2\r\n\r\nok")
     town.relay.send_signal(signal.SIGCONT)
     assert town.hand_in("after") == 202 and until(lambda: town.calls)
@@ -268,7 +268,7 @@
     try:
         town.start()
         for _ in range(80):
-            sock = socket.create_connection(town.relay_place, timeout=3)
+            sock = socket.create_connection(town.relay_address, timeout=3)
             sock.sendall(READY + b"POST /notice HTTP/1.1\r\nHost:")
             socks.append(sock)
         assert until(lambda: any(event["event"] == "full of connections" for event in town.events()))
@@ -286,7 +286,7 @@
     try:
         town.start()
         for _ in range(20):
-            sock = socket.create_connection(town.relay_place, timeout=3)
+            sock = socket.create_connection(town.relay_address, timeout=3)
             sock.sendall(HEAD + b"Content-Length: 60000\r\n\r\n" + b"x" * 50000)
             socks.append(sock)
         assert any(b" 503 " in sock.recv(1000) for sock in socks[10:])
@@ -403,18 +403,18 @@
 @pytest.mark.parametrize("sent_bytes", [b"", b"POST /not", HEAD + b"Content-Length: 9\r\n\r\nab"])
 def test_connections_without_a_request_are_closed_and_an_active_client_keeps_its_own(tmp_path, sent_bytes):
     town = Town(tmp_path, {"sockets": 60})
-    client = http.client.HTTPConnection(*town.relay_place, timeout=2)
+    client = http.client.HTTPConnection(*town.relay_address, timeout=2)
     try:
         town.start()
         for _ in range(2):
             client.request("GET", "/ready")
             assert client.getresponse().read() == b""
             sock, idle_sockets = client.sock, []
-            with socket.create_connection(town.relay_place) as reset:      # must free its slot
+            with socket.create_connection(town.relay_address) as reset:      # must free its slot
                 reset.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
                 time.sleep(0.1)
             for _ in range(60):
-                idle_sockets.append(socket.create_connection(town.relay_place, timeout=3))
+                idle_sockets.append(socket.create_connection(town.relay_address, timeout=3))
                 idle_sockets[-1].sendall(sent_bytes)
         assert client.sock is sock and town.hand_in("a") == 202
         begun = time.time()
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -1,4 +1,4 @@
-"""State of the relay: coordinator and journal, connection pool, saved endpoint list, pending notices."""
+"""State of the relay: tracker and journal, connection pool, saved endpoint list, pending notices."""
 
 import errno
 import socket
@@ -14,18 +14,18 @@
 from courseroute.journal.frames import OWED
 from courseroute.journal.store import Journal
 from courseroute.model.causes import CloseCause, ConnectionCloseCause
-from courseroute.state.desk import END_RECORD_BYTES, Desk
-from courseroute.state.figures import Figures
-from courseroute.state.pool import Pool
-from courseroute.state.roster import Roster
+from courseroute.state.endpoint_cache import EndpointCache
+from courseroute.state.metrics import Metrics
+from courseroute.state.pool import ConnectionPool
+from courseroute.state.tracker import END_RECORD_BYTES, MessageTracker
 from courseroute.wire.clients import Clients
-from courseroute.wire.link import QUIET_PERIOD_NS
+from courseroute.wire.connection import QUIET_PERIOD_NS
 from courseroute.wire.notices import Notices
-from courseroute.wire.words import roster_of
+from courseroute.wire.protocol import parse_endpoint_list
 
 
 class FakeConnection:
-    """Stands in for a Link, on a real socket pair; `peer` is the other end."""
+    """Stands in for a Connection, on a real socket pair; `peer` is the other end."""
 
     def __init__(self):
         self.socket, self.peer = socket.socketpair()
@@ -48,7 +48,7 @@
 )
 def test_an_idle_connection_is_reused_only_if_quiet_and_open(age, fresh, disturb, reused):
     now = [100 * S]
-    pool = Pool(2, 8 * S, lambda: now[0], lambda: fresh)
+    pool = ConnectionPool(2, 8 * S, lambda: now[0], lambda: fresh)
     assert pool.reserve()
     connection = FakeConnection()
     pool.add_idle("h", connection)
@@ -64,7 +64,7 @@
 def test_the_newest_connection_past_its_quiet_period_is_used():
     now = [100 * S]
     pool, connections = (
-        Pool(3, 8 * S, lambda: now[0], lambda: 9 * S),
+        ConnectionPool(3, 8 * S, lambda: now[0], lambda: 9 * S),
         [FakeConnection(), FakeConnection(), FakeConnection()],
     )
     for connection in connections:
@@ -75,20 +75,20 @@
 
 
 def test_the_pool_reports_why_it_closed_a_connection_and_its_unread_bytes():
-    pool, closed = Pool(1, 8 * S, lambda: 0, lambda: 9 * S), []
+    pool, closed = ConnectionPool(1, 8 * S, lambda: 0, lambda: 9 * S), []
     pool.on_closed = lambda _, cause, waiting=b"": closed.append((cause, waiting))
     for disturb in (lambda peer: peer.send(b"HTTP/1.1 503"), lambda peer: peer.close()):
         assert pool.reserve()
         connection = FakeConnection()
         pool.add_idle("h", connection)
         disturb(connection.peer)
-        pool.sweep()
+        pool.close_stale()
     behind = ConnectionCloseCause.UNEXPECTED_BYTES, b"HTTP/1.1 503"
     assert closed == [behind, (ConnectionCloseCause.ENDED_BY_HOST, b"")]
 
 
 def test_the_pool_is_bounded_and_evicts_idle_connections():
-    pool = Pool(2, 8 * S, lambda: 0, lambda: S)
+    pool = ConnectionPool(2, 8 * S, lambda: 0, lambda: S)
     assert pool.reserve() and pool.reserve() and not pool.reserve()
     pool.add_idle("h", FakeConnection())
     assert pool.reserve() and pool.open_count == 2 and not pool.reserve()
@@ -98,7 +98,7 @@
     "name": "a",
     "dst": "7",
     "lane": "notice",
-    "left": S,
+    "time_left": S,
     "mark": "",
     "customer": "",
     "again": False,
@@ -131,13 +131,17 @@
         return [("no such action",)]
 
 
-def desk_of(folder, dispatcher, logged=None):
+def tracker_of(folder, dispatcher, logged=None):
     log = Journal(Disk(folder), 1_000_000)
-    say = (lambda event, **told: logged.append(event)) if logged is not None else (lambda event, **told: None)
-    desk = Desk(dispatcher, {"lanes": {"notice": {}}}, RELAY_LIMITS, log, 10**8, lambda: 5 * MS, say)
-    desk.notices, desk.ready = Notices(desk, RELAY_LIMITS, None, say), True
-    desk.recover()
-    return desk
+    log_event = (
+        (lambda event, **told: logged.append(event)) if logged is not None else (lambda event, **told: None)
+    )
+    tracker = MessageTracker(
+        dispatcher, {"lanes": {"notice": {}}}, RELAY_LIMITS, log, 10**8, lambda: 5 * MS, log_event
+    )
+    tracker.notices, tracker.ready = Notices(tracker, RELAY_LIMITS, None, log_event), True
+    tracker.recover()
+    return tracker
 
 
 def compact_all(journal):
@@ -150,80 +154,90 @@
 
 def test_an_exception_in_one_decision_does_not_stop_the_relay(tmp_path):
     logged, wakes = [], []
-    desk = desk_of(tmp_path, FaultyDispatcher(), logged)
-    desk.alarm = wakes.append
-    assert desk.take(FIELDS, False) == (202, 0)
+    tracker = tracker_of(tmp_path, FaultyDispatcher(), logged)
+    tracker.set_wakeup = wakes.append
+    assert tracker.accept(FIELDS, False) == (202, 0)
     assert logged == ["fault"] * 2 and wakes == [RELAY_LIMITS["sweep_interval"]]
 
 
 @pytest.mark.parametrize("compact_at", ["taken", "ended", "killed", "told", None])
 @pytest.mark.parametrize("end", [None, "returned", "failed", "delivered"])
 def test_a_compaction_at_any_time_neither_loses_nor_restores_a_message(tmp_path, compact_at, end):
-    desk = desk_of(tmp_path, PassiveDispatcher())
+    tracker = tracker_of(tmp_path, PassiveDispatcher())
 
     def step(moment):
         if moment == compact_at:
-            compact_all(desk.log)
+            compact_all(tracker.journal)
 
     step("taken")
-    assert desk.take(FIELDS, False) == (202, 0) and desk.take(FIELDS, False) == (202, 0)
+    assert tracker.accept(FIELDS, False) == (202, 0) and tracker.accept(FIELDS, False) == (202, 0)
     step("ended")
     if compact_at == "killed":  # right after a compaction, before the record whose write started it
 
         def compact_and_stop(*parts):
-            compact_all(desk.log)
-            desk.log.write = lambda *parts: None
+            compact_all(tracker.journal)
+            tracker.journal.write = lambda *parts: None
 
-        desk.log.write = compact_and_stop
+        tracker.journal.write = compact_and_stop
     if end == "delivered":
-        desk.finish(desk.held["a"], end)
+        tracker.complete(tracker.held["a"], end)
     elif end:
-        desk.end("a", end, 500, CloseCause.DEADLINE)
+        tracker.close_message("a", end, 500, CloseCause.DEADLINE)
     step("told")
-    desk.log.close()
-    again = desk_of(tmp_path, PassiveDispatcher())
+    tracker.journal.close()
+    again = tracker_of(tmp_path, PassiveDispatcher())
     assert list(again.held) == ([] if end else ["a"])
     assert [told[0] for told in again.dispatcher.told] == list(again.held)
     assert list(again.notices.pending) == (["a"] if end in ("returned", "failed") else [])
-    assert again.take(FIELDS, False)[0] == {None: 202, "returned": 503, "failed": 500, "delivered": 200}[end]
-    again.told_of(list(again.notices.pending))
-    ends = sum(END_RECORD_BYTES + len(name) for name in again.ends)
-    assert not again.owed and again.reserved_bytes == ends + sum(msg.size for msg in again.held.values())
-    compact_all(again.log)
-    assert set(again.log.entries) == set(again.held)
-    assert sum(live for _, live in again.log.segments.values()) <= again.reserved_bytes
-
-
-def desk_on(disk, now):
-    """A coordinator whose clock reads now[0], on a disk that can be made to fail."""
-    journal, say = Journal(disk, 1_000_000), (lambda event, **told: None)
-    desk = Desk(
-        PassiveDispatcher(), {"lanes": {"notice": {}}}, RELAY_LIMITS, journal, 10**8, lambda: now[0], say
+    assert (
+        again.accept(FIELDS, False)[0] == {None: 202, "returned": 503, "failed": 500, "delivered": 200}[end]
+    )
+    again.notices_accepted(list(again.notices.pending))
+    ends = sum(END_RECORD_BYTES + len(name) for name in again.recent_ends)
+    assert not again.pending_notices and again.reserved_bytes == ends + sum(
+        msg.size for msg in again.held.values()
+    )
+    compact_all(again.journal)
+    assert set(again.journal.entries) == set(again.held)
+    assert sum(live for _, live in again.journal.segments.values()) <= again.reserved_bytes
+
+
+def tracker_on(disk, now):
+    """A tracker whose clock reads now[0], on a disk that can be made to fail."""
+    journal, log_event = Journal(disk, 1_000_000), (lambda event, **told: None)
+    tracker = MessageTracker(
+        PassiveDispatcher(),
+        {"lanes": {"notice": {}}},
+        RELAY_LIMITS,
+        journal,
+        10**8,
+        lambda: now[0],
+        log_event,
     )
-    desk.notices, desk.ready = Notices(desk, RELAY_LIMITS, None, None), True
-    desk.recover()
-    return desk
+    tracker.notices, tracker.ready = Notices(tracker, RELAY_LIMITS, None, None), True
+    tracker.recover()
+    return tracker
 
 
 def test_a_final_state_is_announced_once_written_or_when_its_message_has_no_time_left():
     """Guards against a closed message being sent after a restart (kills.toml): its final state was announced
     while a full disk kept it from being written, and the relay was killed."""
     disk, now = FaultyDisk(), [5 * MS]
-    desk = desk_on(disk, now)
+    tracker = tracker_on(disk, now)
     for name in "ab":
         left = S * (1 + (name == "b")) + RELAY_LIMITS["sweep_interval"]
-        assert desk.take(FIELDS | {"name": name, "left": left}, False) == (202, 0)
+        assert tracker.accept(FIELDS | {"name": name, "time_left": left}, False) == (202, 0)
     disk.room = disk.used()
-    desk.end("a", "returned", 0, CloseCause.DEADLINE)
-    desk.end("b", "failed", 0, CloseCause.DEADLINE)
-    desk.write_late()
-    assert not desk.notices.pending
+    tracker.close_message("a", "returned", 0, CloseCause.DEADLINE)
+    tracker.close_message("b", "failed", 0, CloseCause.DEADLINE)
+    tracker.retry_unwritten()
+    assert not tracker.notices.pending
     now[0] += S
-    desk.write_late()
-    assert list(desk.notices.pending) == ["a"]
+    tracker.retry_unwritten()
+    assert list(tracker.notices.pending) == ["a"]
     disk.room = None
-    desk.write_late()
-    assert list(desk.notices.pending) == ["a", "b"] and not desk.unannounced and not desk.unwritten
+    tracker.retry_unwritten()
+    assert list(tracker.notices.pending) == ["a", "b"] and not tracker.unannounced and not tracker.unwritten
     again = Journal(disk.after(), 1_000_000)
     assert [told[0] for kind, told, _ in again.read() if kind == OWED] == ["a", "b"]
 
@@ -232,23 +246,23 @@
 # written.
 def test_a_final_state_at_the_deadline_is_announced_at_once_though_it_cannot_be_written():
     disk, now = FaultyDisk(), [5 * MS]
-    desk = desk_on(disk, now)
-    assert desk.take(FIELDS, False) == (202, 0)
+    tracker = tracker_on(disk, now)
+    assert tracker.accept(FIELDS, False) == (202, 0)
     disk.room = disk.used()
-    now[0] += FIELDS["left"] - 10 * MS
-    desk.end("a", "returned", 0, CloseCause.DEADLINE)
-    assert list(desk.notices.pending) == ["a"] and desk.unwritten
+    now[0] += FIELDS["time_left"] - 10 * MS
+    tracker.close_message("a", "returned", 0, CloseCause.DEADLINE)
+    assert list(tracker.notices.pending) == ["a"] and tracker.unwritten
 
 
 # As above, for a message that is closed before its deadline, by the time reserved for the final answer.
 def test_a_final_state_that_cannot_be_written_is_announced_when_its_final_answer_is_due():
     disk, now = FaultyDisk(), [5 * MS]
-    desk = desk_on(disk, now)
-    assert desk.take(FIELDS | {"left": 4 * S}, False) == (202, 0)
+    tracker = tracker_on(disk, now)
+    assert tracker.accept(FIELDS | {"time_left": 4 * S}, False) == (202, 0)
     disk.room = disk.used()
-    now[0] = desk.held["a"].final_answer_due - 10 * MS
-    desk.end("a", "returned", 0, CloseCause.DEADLINE)
-    assert list(desk.notices.pending) == ["a"] and desk.unwritten
+    now[0] = tracker.held["a"].final_answer_due - 10 * MS
+    tracker.close_message("a", "returned", 0, CloseCause.DEADLINE)
+    assert list(tracker.notices.pending) == ["a"] and tracker.unwritten
 
 
 @pytest.mark.parametrize("last_byte", [True, False])
@@ -258,7 +272,7 @@
     request = b"GET /ready HTTP/1.1\r\nHost: r\r\n\r\n"
 
     class Answers:
-        def handle_request(self, request, gone, unread):
+        def handle_request(self, request, peer_closed, unread):
             return 200, (), b""
 
     async def play():
@@ -268,7 +282,7 @@
 
         async def receive(stream, size):
             data = await read(stream, size)
-            for connection in list(clients.open):
+            for connection in list(clients.open_connections):
                 clients.close_waiting(connection)
             return data
 
@@ -281,7 +295,7 @@
             trio.SocketStream.receive_some = read
         assert (await theirs.recv(99)).startswith(b"HTTP/1.1 200 ") == last_byte
         assert (
-            not clients.open
+            not clients.open_connections
             and not clients.silent
             and not clients.idle
             and clients.partial_bytes_left == 9999
@@ -291,54 +305,54 @@
 
 
 def test_the_endpoint_list_survives_a_restart_and_is_never_partly_written(tmp_path):
-    roster = Roster(str(tmp_path), 4000)
-    assert roster.read() is None and not roster.write()
+    cache = EndpointCache(str(tmp_path), 4000)
+    assert cache.load() is None and not cache.save()
     one = ("h1", "ready", "z", None, "k", "7")
-    roster.learn(
+    cache.update(
         "full", [one, ("h2", "draining", "z", 2.5, "k", "7")], {"h1": ("127.0.0.1", 1), "h2": ("::1", 2)}
     )
-    assert roster.write() and not roster.write()  # only if it changed
-    again = Roster(str(tmp_path), 4000)
-    index, scope, entries, where = roster_of(again.read(), False)
-    assert scope == "full" and one in entries and where["h2"] == ("::1", 2)
-    again.learn("saved", entries, where)
-    again.learn("changes", [("h2", "gone", "z", None, "k", "7"), ("h1", "ready", "y", None, "k", "7")], {})
-    assert again.write()
-    _, _, entries, where = roster_of(again.read(), False)
-    assert entries == [("h1", "ready", "y", None, "k", "7")] and where == {"h1": ("127.0.0.1", 1)}
-    again.learn(
+    assert cache.save() and not cache.save()  # only if it changed
+    again = EndpointCache(str(tmp_path), 4000)
+    index, scope, entries, addresses = parse_endpoint_list(again.load(), False)
+    assert scope == "full" and one in entries and addresses["h2"] == ("::1", 2)
+    again.update("saved", entries, addresses)
+    again.update("changes", [("h2", "gone", "z", None, "k", "7"), ("h1", "ready", "y", None, "k", "7")], {})
+    assert again.save()
+    _, _, entries, addresses = parse_endpoint_list(again.load(), False)
+    assert entries == [("h1", "ready", "y", None, "k", "7")] and addresses == {"h1": ("127.0.0.1", 1)}
+    again.update(
         "changes",
         [(f"x{i}", "ready", "z", None, "k", "7") for i in range(90)],
         {f"x{i}": ("127.0.0.1", 1) for i in range(90)},
     )
-    assert not again.write()  # a list that is too long is not saved
+    assert not again.save()  # a list that is too long is not saved
     for torn in (b"", b"{", b"[]", b"\xff"):
         (tmp_path / "list").write_bytes(torn)
-        assert again.read() is None
-    assert not Roster(str(tmp_path / "none"), 4000).write()
+        assert again.load() is None
+    assert not EndpointCache(str(tmp_path / "none"), 4000).save()
     assert [file.name for file in tmp_path.iterdir()] == ["list"]
 
 
 # Guards against requests to a draining server after a kill: the next process starts from the saved list.
 def test_updates_of_the_endpoint_list_are_saved_at_once(tmp_path):
-    roster = Roster(str(tmp_path), 4000)
-    where = {"h1": ("127.0.0.1", 80)}
-    roster.keep("full", [("h1", "ready", "z", 1.0, "k", "7")], where)
-    roster.keep("changes", [("h1", "draining", "z", 1.0, "k", "7")], {})
-    _, _, entries, _ = roster_of(Roster(str(tmp_path), 4000).read(), False)
+    cache = EndpointCache(str(tmp_path), 4000)
+    addresses = {"h1": ("127.0.0.1", 80)}
+    cache.update_and_save("full", [("h1", "ready", "z", 1.0, "k", "7")], addresses)
+    cache.update_and_save("changes", [("h1", "draining", "z", 1.0, "k", "7")], {})
+    _, _, entries, _ = parse_endpoint_list(EndpointCache(str(tmp_path), 4000).load(), False)
     assert [(name, state) for name, state, *_ in entries] == [("h1", "draining")]
-    assert not roster.write()  # nothing was left to be saved later
+    assert not cache.save()  # nothing was left to be saved later
 
 
-def notices_to_refusing_platform(desk):
+def notices_to_refusing_platform(tracker):
     """Notices whose platform refuses connections."""
-    return Notices(desk, RELAY_LIMITS, ("127.0.0.1", 1), lambda event, **told: None)
+    return Notices(tracker, RELAY_LIMITS, ("127.0.0.1", 1), lambda event, **told: None)
 
 
 # Guards against a crash of the relay when another call delivers a notice before a call's own task starts.
 def test_a_call_whose_notice_was_accepted_by_another_call_is_made_without_error():
     async def play():
-        notices = notices_to_refusing_platform(SimpleNamespace(figures=Figures()))
+        notices = notices_to_refusing_platform(SimpleNamespace(metrics=Metrics()))
         notices.add("a", "failed", 0)
         call = notices.start_call(["a"], trio.current_time())
         del notices.pending["a"]
@@ -351,7 +365,7 @@
 # Guards against a notice waiting for its own retry while calls with other notices are made and answered.
 def test_a_call_to_the_platform_includes_the_notices_of_calls_under_way():
     async def play():
-        notices = notices_to_refusing_platform(SimpleNamespace(figures=Figures()))
+        notices = notices_to_refusing_platform(SimpleNamespace(metrics=Metrics()))
         notices.add("a", "failed", 0)
         notices.start_call(["a"], trio.current_time())
         assert not notices.next_batch(trio.current_time())
@@ -377,7 +391,7 @@
             return accepted, None
 
     class Answers:
-        def handle_request(self, request, gone, unread):
+        def handle_request(self, request, peer_closed, unread):
             return 200, (), b""
 
     async def play():
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -7,9 +7,9 @@
 from helpers import MS, S
 
 from courseroute.run import config
-from courseroute.wire import words
+from courseroute.wire import protocol
 from courseroute.wire.discovery import Watch
-from courseroute.wire.http import Door, HttpClientState, Refused
+from courseroute.wire.http import HttpClientState, ProtocolError, ServerConnection
 
 POST = (
     b"POST /order/x?subject=k HTTP/1.1\r\nHost: r\r\nX-Request-Id: m1\r\nX-Deadline: 1500m\r\n"
@@ -19,19 +19,19 @@
 
 @pytest.mark.parametrize("size", [1, 2, 7, 64, len(POST) - 1, len(POST), 2 * len(POST)])
 def test_a_request_is_the_same_however_its_bytes_are_split(size):
-    door, found, data = Door(4096, 100), [], POST * 2
+    http, found, data = ServerConnection(4096, 100), [], POST * 2
     for at in range(0, len(data), size):
-        door.feed(data[at : at + size])
-        while request := door.next():
+        http.feed(data[at : at + size])
+        while request := http.next():
             found.append((request.method, request.target, bytes(request.body)))
-            assert door.answer(202).startswith(b"HTTP/1.1 202 ")
-    assert found == [("POST", "/order/x?subject=k", b"he\0lo")] * 2 and not door.begun
+            assert http.answer(202).startswith(b"HTTP/1.1 202 ")
+    assert found == [("POST", "/order/x?subject=k", b"he\0lo")] * 2 and not http.begun
 
 
 def test_a_body_read_at_once_is_a_slice_of_the_buffer_it_came_in():
-    door, chunk = Door(4096, 100), POST + POST[:20]
-    door.feed(chunk)
-    body = door.next().body
+    http, chunk = ServerConnection(4096, 100), POST + POST[:20]
+    http.feed(chunk)
+    body = http.next().body
     assert isinstance(body, memoryview) and body.obj is chunk and body == b"he\0lo"
 
 
@@ -43,14 +43,14 @@
         (b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n", (200, False, False)),
         (b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n", (503, True, True)),
         (b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 200 again", (200, True, False)),
-        (b"SSH-2.0 hello\r\n\r\n", Refused),
-        (b"", Refused),
+        (b"SSH-2.0 hello\r\n\r\n", ProtocolError),
+        (b"", ProtocolError),
         (b"HTTP/1.1 2", (None, False, False)),
-        (b"HTTP/1.1 200 OK\r\nX: " + b"y" * 9000, Refused),
-        (b"HTTP/1.1 OK 200\r\n", Refused),
-        (b"\0noise", Refused),
-        (b"HTTP/1.1 500 No\r\nContent-Length: 3000000000\r\n\r\nx", Refused),
-        (b"HTTP/1.1 500 No\r\nContent-Length: " + b"9" * 2000 + b"\r\n\r\nx", Refused),
+        (b"HTTP/1.1 200 OK\r\nX: " + b"y" * 9000, ProtocolError),
+        (b"HTTP/1.1 OK 200\r\n", ProtocolError),
+        (b"\0noise", ProtocolError),
+        (b"HTTP/1.1 500 No\r\nContent-Length: 3000000000\r\n\r\nx", ProtocolError),
+        (b"HTTP/1.1 500 No\r\nContent-Length: " + b"9" * 2000 + b"\r\n\r\nx", ProtocolError),
     ],
 )
 def test_an_answer_in_one_read_or_byte_by_byte(data, outcome):
@@ -63,8 +63,8 @@
                 call.feed(data[at : at + size])
             return call.status, call.done, call.reusable()
 
-        if outcome is Refused:
-            with pytest.raises((Refused, EOFError)):
+        if outcome is ProtocolError:
+            with pytest.raises((ProtocolError, EOFError)):
                 receive()
         elif size > 1 or outcome[2]:
             assert receive() == outcome
@@ -89,24 +89,24 @@
 def test_the_status_line_counts_though_the_rest_is_malformed(data, first, conclusive):
     call = HttpClientState(4096, 100)
     call.begin("POST", "/hook", [("Host", "h")])
-    with contextlib.suppress(Refused):
+    with contextlib.suppress(ProtocolError):
         call.feed(data)
     assert (call.first_line_status, call.conclusive) == (first, conclusive)
 
 
 def request_of(change=b"", to=b""):
     """The request POST, parsed, with one text replaced."""
-    door = Door(4096, 100)
-    door.feed(POST.replace(change, to) if change else POST)
-    return door.next()
+    http = ServerConnection(4096, 100)
+    http.feed(POST.replace(change, to) if change else POST)
+    return http.next()
 
 
 @pytest.mark.parametrize(
     "change, to, told",
     [
         (b"", b"", {}),
-        (b"1500m", b"2500u", {"left": 2_500_000}),
-        (b"1500m", b"0.5m", {"left": 500_000}),
+        (b"1500m", b"2500u", {"time_left": 2_500_000}),
+        (b"1500m", b"0.5m", {"time_left": 500_000}),
         (b"?subject=k", b"", {"key": ""}),
         (b"Host: r", b"X-Retry: again\r\nHost: r", {"again": True}),
         (b"Host: r", b"X-Tenant: acme\r\nHost: r", {"customer": "acme"}),
@@ -127,7 +127,7 @@
         "name": "m1",
         "dst": "7",
         "lane": "order",
-        "left": 1500 * MS,
+        "time_left": 1500 * MS,
         "mark": "q",
         "customer": "",
         "again": False,
@@ -135,11 +135,13 @@
         "body": b"he\0lo",
     }
     if isinstance(told, int):
-        with pytest.raises(Refused) as refused:
-            words.notice_of(request_of(change, to), {"order": {}, "notice": {}}, 100)
+        with pytest.raises(ProtocolError) as refused:
+            protocol.parse_message(request_of(change, to), {"order": {}, "notice": {}}, 100)
         assert refused.value.status == told
     else:
-        assert words.notice_of(request_of(change, to), {"order": {}, "notice": {}}, 100) == usual | told
+        assert (
+            protocol.parse_message(request_of(change, to), {"order": {}, "notice": {}}, 100) == usual | told
+        )
 
 
 @pytest.mark.parametrize(
@@ -158,7 +160,7 @@
     ],
 )
 def test_a_hosts_answer_as_ending(status, headers, ending):
-    assert words.classify_answer(status, headers) == ending
+    assert protocol.classify_answer(status, headers) == ending
 
 
 @pytest.mark.parametrize(
@@ -174,7 +176,7 @@
     ],
 )
 def test_load_reports(text, report):
-    assert words.parse_load_report(text) == report
+    assert protocol.parse_load_report(text) == report
 
 
 ENTRY = {"name": "h", "address": "127.0.0.1:80", "zone": "z", "type": "k", "group": 3, "status": "leaving"}
