--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -49,23 +49,23 @@
         self.now, self.n, self.seen = 1000 * S, 0, []
         self.relay = Dispatcher(7, settings | changes)
         self.tell("start")
-        self.tell("roster", "full", [(name, "ready", "z", rate, kind, "d") for name, rate in hosts])
+        self.tell("update_endpoints", "full", [(name, "ready", "z", rate, kind, "d") for name, rate in hosts])
 
     def tell(self, method, *arguments):
         """Calls a method of the Dispatcher; returns the actions apart from wake-ups and log events."""
-        actions = getattr(self.relay, method)(self.now, *arguments) + self.relay.settle(self.now)
+        actions = getattr(self.relay, method)(self.now, *arguments) + self.relay.end_batch(self.now)
         self.seen += [(self.now, *action) for action in actions]
         return [action for action in actions if action[0] not in ("wake", "log")]
 
     def take(self, lane="retriable", key=None, left=16 * S, dst="d"):
         """Submits a message; returns its id and the actions."""
         self.n += 1
-        return f"m{self.n}", self.tell("take", f"m{self.n}", dst, lane, self.now + left, key, None, False)
+        return f"m{self.n}", self.tell("accept", f"m{self.n}", dst, lane, self.now + left, key, None, False)
 
     def back(self, name, ending, n=0, host="a", wait=0, over=None, took=100 * MS, report=None):
         """Reports the outcome of attempt `n` of a message; returns the actions."""
         over = ending == "delivered" if over is None else over
-        return self.tell("outcome", name, n, host, ending, took, wait, report, over)
+        return self.tell("attempt_ended", name, n, host, ending, took, wait, report, over)
 
     def run(self, span, step=5 * MS):
         """Advances the time by `span` with a wake-up at each step; returns the actions."""
@@ -144,7 +144,7 @@
         self.folder, self.relay, self.known = folder, None, known
         with socket.socket() as free_socket:
             free_socket.bind((address_of_worker(), 0))
-            self.relay_place = free_socket.getsockname()
+            self.relay_address = free_socket.getsockname()
         (folder / "state").mkdir()
         self.limits = {"cores": 1.0, "memory_mb": 192, "sockets": 1024, "disk_mb": 3} | (limits or {})
         self.settings = SETTINGS | {"family-info": SETTINGS["family-info"] | {"call-slots": slots}}
@@ -154,7 +154,7 @@
         known = {"index": 1, "snapshot": True, "endpoints": self.entries()} if self.known else None
         config = {
             "name": "n0",
-            "listen": "{}:{}".format(*self.relay_place),
+            "listen": "{}:{}".format(*self.relay_address),
             "seed": "8c1f30d27a5be964",
             "known": known,
             "discovery": "{}:{}".format(*self.discovery),
@@ -186,7 +186,7 @@
 
     def ask(self, method, path, headers=None, body=b"", within=2):
         """(status, headers) of the answer; (0, {}) if none came."""
-        connection = http.client.HTTPConnection(*self.relay_place, timeout=within)
+        connection = http.client.HTTPConnection(*self.relay_address, timeout=within)
         try:
             connection.request(method, path, body, headers or {})
             answer = connection.getresponse()
@@ -211,7 +211,7 @@
     def raw(self, data, within=3.0):
         """Sends raw bytes, or a list of byte strings and pauses in seconds; returns the bytes that came back
         until the connection ended or timed out."""
-        with socket.create_connection(self.relay_place, timeout=within) as sock:
+        with socket.create_connection(self.relay_address, timeout=within) as sock:
             received = b""
             try:
                 for part in data if isinstance(data, list) else [data]:
