--- a/Makefile
+++ b/Makefile
@@ -38,7 +38,7 @@
 JOBS = 3
 DAY = repeats
 RELAY = $(LAB) -m courseroute
-RELAY_OF_repeats = env PYTHONPATH=courseroute/town/shims:. SYSTEM_CALL_FAULTS='{seed} 0.01' $(RELAY)
+RELAY_OF_repeats = env PYTHONPATH=courseroute/emulator/shims:. SYSTEM_CALL_FAULTS='{seed} 0.01' $(RELAY)
 soak: .venv-lab/.installed
 	$(LAB) -m courseroute town soak examples/$(DAY).toml --seeds 1..$(SEEDS) --jobs $(JOBS) \
 		--relay "$(or $(RELAY_OF_$(DAY)),$(RELAY))"
@@ -50,4 +50,4 @@
 	$(LAB) benchmarks/journal.py
 
 bench-town: .venv-lab/.installed
-	$(LAB) -m courseroute town run benchmarks/carry.toml --relay "$(LAB) -m courseroute.town.null"
+	$(LAB) -m courseroute town run benchmarks/carry.toml --relay "$(LAB) -m courseroute.emulator.null_relay"
--- a/courseroute/checked.py
+++ b/courseroute/checked.py
@@ -1,9 +1,9 @@
 """Validates files against msgspec Structs and reports all mistakes at once, each with its location.
 
-Called by `run.setup` (a relay's configuration) and `town.script` (an emulator script). Durations in files are
-text, a number and a unit; `span` converts them to nanoseconds. A file's schema is a Struct of Structs, lists,
-maps with text keys and plain values; a Struct may have a `faults` method that reports invalid values which
-the types cannot express.
+Called by `run.setup` (a relay's configuration) and `emulator.scenario` (an emulator script). Durations in
+files are text, a number and a unit; `span` converts them to nanoseconds. A file's schema is a Struct of
+Structs, lists, maps with text keys and plain values; a Struct may have a `faults` method that reports invalid
+values which the types cannot express.
 """
 
 import difflib
--- a/courseroute/command/main.py
+++ b/courseroute/command/main.py
@@ -142,7 +142,7 @@
     """
     from courseroute.journal import tools
 
-    content = list(tools.rows(folder)) if records else tools.state(folder)
+    content = list(tools.read_rows(folder)) if records else tools.folder_state(folder)
     if as_json:
         click.echo(orjson.dumps(content))
     else:
@@ -191,7 +191,7 @@
     """Print every record as a JSON line."""
     from courseroute.journal import tools
 
-    for line in tools.lines(folder):
+    for line in tools.dump_lines(folder):
         click.echo(line)
 
 
@@ -238,7 +238,7 @@
 @JSON_OPTION
 def town_check(file, as_json):
     """List every problem in a day's FILE; print a summary of the day."""
-    from courseroute.town.script import arrivals, destinations, load, strikes
+    from courseroute.emulator.scenario import arrivals, destinations, load, scheduled_faults
 
     day = load(file)
     summary = {
@@ -254,7 +254,7 @@
                 "end_ms": scheduled.end // 10**6,
                 "names": list(scheduled.names),
             }
-            for scheduled in strikes(day)
+            for scheduled in scheduled_faults(day)
         ],
     }
     click.echo(
@@ -280,7 +280,7 @@
 @JSON_OPTION
 def town_run(files, seed, workers, command, folder, as_json):
     """Run the day in each FILE. Exit with 1 if a rule is broken, 3 if the emulator itself ran late."""
-    from courseroute.town.script import load
+    from courseroute.emulator.scenario import load
 
     days = [(Path(file), load(file, seed=seed, workers=workers)) for file in files]
     reports = {}
@@ -308,8 +308,8 @@
     `folder`/`name`, or to a temporary folder that is removed if `folder` is None."""
     import trio
 
-    from courseroute.town.play import play
-    from courseroute.town.report import figures
+    from courseroute.emulator.play import run_day
+    from courseroute.emulator.report import figures
 
     keep = folder is not None
     day_folder = folder / name if keep else Path(tempfile.mkdtemp(prefix="courseroute-town-"))
@@ -318,7 +318,7 @@
     try:
         with show.live_progress(name, quiet) as progress:
             result = trio.run(
-                play, day, day_folder, shlex.split(command) if command else None, progress, keep
+                run_day, day, day_folder, shlex.split(command) if command else None, progress, keep
             )
         report = figures(result)
         if keep:
--- a/courseroute/command/soak.py
+++ b/courseroute/command/soak.py
@@ -18,7 +18,7 @@
     name = "A..B"
 
     def convert(self, value, param, ctx):
-        from courseroute.town.soak import seeds_of
+        from courseroute.emulator.soak import seeds_of
 
         try:
             return seeds_of(value)
@@ -43,7 +43,7 @@
     """Run each of the DAYS with each seed. Exit with 1 if a rule is broken or over 5% of days are void."""
     import trio
 
-    from courseroute.town.soak import Plan, soak
+    from courseroute.emulator.soak import Plan, soak
 
     folder = folder or Path(tempfile.mkdtemp(prefix="courseroute-soak-"))
     plan = Plan(days=days, seeds=seeds, jobs=jobs, folder=folder, relay=relay)
@@ -62,7 +62,7 @@
 
 def show_summary(summary):
     """Prints counts of outcomes, broken rules and fault kinds, and how to reproduce each failure."""
-    from courseroute.town.soak import MOST_VOID, VOID
+    from courseroute.emulator.soak import MOST_VOID, VOID
 
     for title, counts in (
         ("Days", summary.outcomes),
--- a/courseroute/town/clients.py
+++ b/courseroute/emulator/clients.py
@@ -1,7 +1,7 @@
 """Emulated clients and the router before them: they submit messages at the scheduled times, and resubmit them
 after a rejection or the loss of a relay.
 
-Called by `quarter`. The load is open-loop: each arrival is a task of its own, started when it is due, however
+Called by `worker`. The load is open-loop: each arrival is a task of its own, started when it is due, however
 the others fare. A client waits for its answer up to a timeout, then submits the message under a new id.
 """
 
@@ -12,7 +12,7 @@
 import trio
 
 from courseroute.checked import span
-from courseroute.town.hosts import body_of
+from courseroute.emulator.hosts import body_of
 from courseroute.wire.connection import CONNECTION_ERRORS, Connection
 from courseroute.wire.http import ProtocolError
 
@@ -20,10 +20,10 @@
 S = 1000 * MS
 MAX_HEAD_BYTES, MAX_BODY_BYTES = 16 << 10, 64 << 10
 MIN_RETRY_DELAY = 100 * MS  # before a message is submitted again
-REPORTED_LATE = 100 * MS  # arrivals that start later than that are recorded
+LATENESS_REPORTED_FROM = 100 * MS  # arrivals that start later than that are recorded
 
 
-class Reach(enum.StrEnum):
+class Reachability(enum.StrEnum):
     """How clients can reach a relay."""
 
     ANY = "any connection"
@@ -31,11 +31,11 @@
     NONE = "none"
 
 
-class Front:
+class RelayRouter:
     """Chooses the relay for a message among those believed to be up."""
 
     def __init__(self, count):
-        self.reach = [Reach.ANY] * count
+        self.reachability = [Reachability.ANY] * count
 
     def pick(self, draw, tries, idle):
         """Returns the index of a relay.
@@ -45,18 +45,20 @@
         candidates.
         """
         candidates = [
-            i for i, reach in enumerate(self.reach) if reach == Reach.ANY or reach == Reach.OPEN and idle[i]
-        ] or list(range(len(self.reach)))
+            i
+            for i, reach in enumerate(self.reachability)
+            if reach == Reachability.ANY or reach == Reachability.OPEN and idle[i]
+        ] or list(range(len(self.reachability)))
         return candidates[(int(draw * len(candidates)) + tries) % len(candidates)]
 
 
 class Clients:
     """The clients of one worker process: submits its arrivals and records what became of each."""
 
-    def __init__(self, day, arrivals, relays, clock, tell):
+    def __init__(self, day, arrivals, relays, clock, record):
         """`relays`: the address of each relay; `clock`: monotonic time in nanoseconds."""
         self.day, self.arrivals, self.relays = day, arrivals, [tuple(address) for address in relays]
-        self.clock, self.tell, self.front = clock, tell, Front(len(relays))
+        self.clock, self.record, self.router = clock, record, RelayRouter(len(relays))
         self.answer_within = span(day.traffic.answer_within)
         self.idle = [[] for _ in relays]  # open connections to each relay that no message uses
         self.connection_limits = [trio.CapacityLimiter(day.traffic.connections) for _ in relays]
@@ -74,14 +76,14 @@
             self.record_lateness(self.clock() - due)
             nursery.start_soon(self.message, arrival)
 
-    async def play(self, number, strike, start):
+    async def run_fault(self, number, scheduled, start):
         """Runs one scheduled fault: requests to the affected relays are delayed by up to `by`."""
-        await trio.sleep(max(0, start + strike.begin - self.clock()) / 1e9)
+        await trio.sleep(max(0, start + scheduled.begin - self.clock()) / 1e9)
         draw = random.Random(f"{self.day.seed} {number}")
-        delay = span(strike.fault.by), strike.fault.share, draw
-        relays = [int(name.removeprefix("n")) for name in strike.names]
+        delay = span(scheduled.fault.by), scheduled.fault.share, draw
+        relays = [int(name.removeprefix("n")) for name in scheduled.targets]
         self.request_delays |= dict.fromkeys(relays, delay)
-        await trio.sleep(max(0, start + strike.end - self.clock()) / 1e9)
+        await trio.sleep(max(0, start + scheduled.end - self.clock()) / 1e9)
         for relay in relays:
             if self.request_delays.get(relay) is delay:  # a later fault may have replaced it
                 del self.request_delays[relay]
@@ -93,11 +95,11 @@
 
     def record_lateness(self, by):
         """Records by how many nanoseconds an arrival started late, if that exceeds all earlier ones."""
-        if by > max(self.late, REPORTED_LATE):
+        if by > max(self.late, LATENESS_REPORTED_FROM):
             self.late = by
-            self.tell("late", self.clock(), by=by)
+            self.record("late", self.clock(), by=by)
 
-    def again(self, n, after, retry):
+    def resubmit(self, n, after, retry):
         """Submits a message anew: it was returned, or its relay was lost with all that it held.
 
         `after`: nanoseconds to wait; `retry`: the value of X-Retry.
@@ -120,7 +122,7 @@
             if left < 2 * MIN_RETRY_DELAY:
                 return
             tries = self.tries[arrival.n] = self.tries.get(arrival.n, 0) + 1
-            relay = self.front.pick(arrival.relay, tries - 1, self.idle)
+            relay = self.router.pick(arrival.relay, tries - 1, self.idle)
             status, after = await self.submit(arrival, f"{arrival.n}-{tries}", relay, left, retry)
             if status is not None and status not in (429, 503):
                 return
@@ -148,7 +150,7 @@
                             connection, why = Connection(MAX_HEAD_BYTES, MAX_BODY_BYTES), "unreachable"
                             await connection.connect(self.relays[relay])
                             why = "no answer"
-                        self.tell("hand", started, **row)
+                        self.record("hand", started, **row)
                         await trio.sleep(self.request_delay(relay))
                         await connection.send("POST", *head, body_of(row["mark"], arrival.body))
                         await connection.receive_all()
@@ -161,7 +163,7 @@
                 connection.close()
                 break
         number = {} if why != "unreachable" else {"n": arrival.n}
-        self.tell("dropped", self.clock(), id=name, relay=f"n{relay}", why=why, **number)
+        self.record("dropped", self.clock(), id=name, relay=f"n{relay}", why=why, **number)
         return None, 0
 
     def request_head(self, arrival, name, left, retry):
@@ -199,7 +201,7 @@
         """Records an answer and releases its connection; returns (status, nanoseconds to wait)."""
         status, retry_after = connection.call.status, connection.call.headers.get("retry-after", "")
         after = int(float(retry_after) * S) if retry_after and math.isfinite(float(retry_after)) else 0
-        self.tell("answer", self.clock(), id=name, relay=f"n{relay}", status=status, after=after)
+        self.record("answer", self.clock(), id=name, relay=f"n{relay}", status=status, after=after)
         if connection.call.reusable():
             self.idle[relay].append(connection)
         else:
--- a/courseroute/town/partner.py
+++ b/courseroute/emulator/destination.py
@@ -1,7 +1,8 @@
 """Model of a destination: rate limits, queues, idempotency keys, recovery after outages, faults.
 
-One Partner per destination. It uses neither sockets nor a clock: the caller passes `now` (nanoseconds) and
-gets a CallOutcome. `town.hosts` performs it on sockets; a model in simulated time can use it as well.
+One DestinationModel per destination. It uses neither sockets nor a clock: the caller passes `now`
+(nanoseconds) and gets a CallOutcome. `emulator.hosts` performs it on sockets; a model in simulated time can
+use it as well.
 """
 
 import heapq
@@ -9,7 +10,7 @@
 from typing import NamedTuple
 
 from courseroute.checked import span
-from courseroute.town.script import OUTAGES
+from courseroute.emulator.scenario import OUTAGES
 
 S = 1_000_000_000
 BUDGET_DEVIATIONS = 2.0  # tolerance above the budget for random arrivals, in square roots of the budget
@@ -33,31 +34,31 @@
 class HostState:
     """Runtime state of one host of a destination."""
 
-    def __init__(self, place):
-        self.place, self.name = place, place.name
+    def __init__(self, spec):
+        self.spec, self.name = spec, spec.name
         self.completions = []  # heap of the times (ns) at which its calls in service complete
         self.leaving = self.gone = False
-        self.current_name = place.name  # changes when the host is replaced
+        self.current_name = spec.name  # changes when the host is replaced
 
 
-class Partner:
+class DestinationModel:
     """State and behaviour of one destination and its hosts."""
 
-    def __init__(self, place, rules, rng):
+    def __init__(self, destination, rules, rng):
         """`rng`: a seeded numpy Generator used by this destination alone."""
-        self.place, self.form, self.rng = place, place.form, rng
-        self.hosts = {host.name: HostState(host) for host in place.hosts}
-        self.pace, self.window = span(place.form.pace), span(place.form.window)
-        self.remembers = span(place.form.remembers)
+        self.destination, self.form, self.rng = destination, destination.form, rng
+        self.hosts = {host.name: HostState(host) for host in destination.hosts}
+        self.pace, self.window = span(destination.form.pace), span(destination.form.window)
+        self.remembers = span(destination.form.remembers)
         self.cold, self.cold_from = span(rules.cold) or 0, rules.cold_from or 1.0
         self.overload, self.fall = rules.overload or 0.0, span(rules.fall) or 0
         self.recent_calls = deque()  # (time, relay) of the calls in the overload window during recovery
         self.counted_calls = deque()  # times of the calls that count towards the rate limit
         self.keys = {}  # idempotency key -> time of its first effect
-        self.active = {}  # number -> Strike, the faults in effect
+        self.active = {}  # number -> ScheduledFault, the faults in effect
         self.outage_since = None  # start of the outage of all its hosts, None outside an outage
         self.recovering_since = None  # end of the last outage; None if it has not ended or there was none
-        self.overloaded_until, self.stays_down = 0, span(place.form.stays_down)
+        self.overloaded_until, self.stays_down = 0, span(destination.form.stays_down)
         self.aware_relays = set()  # relays that had a call fail in the last outage
         self.report = None
 
@@ -66,7 +67,11 @@
     def begin(self, now, number, scheduled):
         """Puts a scheduled fault into effect."""
         self.active[number] = scheduled
-        if scheduled.kind in OUTAGES and self.place.name in scheduled.names and self.outage_since is None:
+        if (
+            scheduled.kind in OUTAGES
+            and self.destination.name in scheduled.targets
+            and self.outage_since is None
+        ):
             self.outage_since, self.recovering_since, self.aware_relays = now, None, set()
 
     def finish(self, now, number):
@@ -76,7 +81,8 @@
             scheduled.kind in OUTAGES
             and self.outage_since is not None
             and not any(
-                other.kind in OUTAGES and self.place.name in other.names for other in self.active.values()
+                other.kind in OUTAGES and self.destination.name in other.targets
+                for other in self.active.values()
             )
         ):
             self.outage_since, self.recovering_since = None, now
@@ -87,7 +93,7 @@
             (
                 scheduled
                 for scheduled in self.active.values()
-                if scheduled.kind in kinds and host.name in scheduled.names
+                if scheduled.kind in kinds and host.name in scheduled.targets
             ),
             None,
         )
@@ -180,7 +186,7 @@
             (
                 scheduled.fault.factor
                 for scheduled in self.active.values()
-                if scheduled.kind == "limit" and self.place.name in scheduled.names
+                if scheduled.kind == "limit" and self.destination.name in scheduled.targets
             ),
             1.0,
         )
@@ -205,7 +211,7 @@
         if not self.form.reports or self.form.limit is None:
             return None
         if self.report and any(
-            scheduled.kind == "pause-reports" and self.place.name in scheduled.names
+            scheduled.kind == "pause-reports" and self.destination.name in scheduled.targets
             for scheduled in self.active.values()
         ):
             return self.report
@@ -214,7 +220,9 @@
             (
                 scheduled.fault.told
                 for scheduled in self.active.values()
-                if scheduled.kind == "limit" and scheduled.fault.told and self.place.name in scheduled.names
+                if scheduled.kind == "limit"
+                and scheduled.fault.told
+                and self.destination.name in scheduled.targets
             ),
             1.0,
         )
@@ -253,7 +261,7 @@
     def recover(self, now):
         """Ends the outage that an overload caused, unless a fault prolongs it."""
         if self.outage_since is not None and not any(
-            scheduled.kind in OUTAGES and self.place.name in scheduled.names
+            scheduled.kind in OUTAGES and self.destination.name in scheduled.targets
             for scheduled in self.active.values()
         ):
             self.outage_since, self.recovering_since = None, now
--- a/courseroute/town/hosts.py
+++ b/courseroute/emulator/hosts.py
@@ -1,8 +1,8 @@
 """Emulated destination hosts on loopback sockets. Each relay reaches each host at a separate address.
 
-Each worker process (`quarter`) runs one `Hosts`. `partner.Partner` decides how a host handles a call; this
-module performs it on the sockets and records it in the ledger. A host that refusing connections closes its
-listeners; a silent one stops reading.
+Each worker process (`worker`) runs one `Hosts`. `destination.DestinationModel` decides how a host handles a
+call; this module performs it on the sockets and records it in the ledger. A host that refusing connections
+closes its listeners; a silent one stops reading.
 """
 
 import contextlib
@@ -14,8 +14,8 @@
 import trio
 
 from courseroute.checked import span
-from courseroute.town.partner import Partner
-from courseroute.town.script import S
+from courseroute.emulator.destination import DestinationModel
+from courseroute.emulator.scenario import S
 from courseroute.wire.clients import peer_closed
 from courseroute.wire.http import ProtocolError, ServerConnection
 
@@ -47,7 +47,7 @@
 
     def __init__(self, host, relay, number):
         self.host, self.relay = host, relay
-        self.address = (f"127.{20 + relay}.{number % 250}.{host.place.index + 1}", 0)
+        self.address = (f"127.{20 + relay}.{number % 250}.{host.spec.index + 1}", 0)
         self.listener = None
         self.scope = trio.CancelScope()
 
@@ -63,20 +63,21 @@
 class Hosts:
     """All hosts of one worker process, with their listeners, connections and faults."""
 
-    def __init__(self, day, places, clock, tell):
-        self.day, self.clock, self.tell = day, clock, tell
+    def __init__(self, day, destinations, clock, record):
+        self.day, self.clock, self.record = day, clock, record
         self.partners, self.endpoints, self.calls = [], [], 0
-        for place in places:
-            draw = np.random.default_rng([day.seed, 2, place.number])
-            partner = Partner(place, day.rules, draw)
+        for destination in destinations:
+            draw = np.random.default_rng([day.seed, 2, destination.number])
+            partner = DestinationModel(destination, day.rules, draw)
             self.partners.append(partner)
             for host in partner.hosts.values():
                 host.open, host.sockets, host.refusing, host.accepting_again = 0, {}, False, trio.Event()
                 self.endpoints += [
-                    (partner, HostEndpoint(host, relay, place.number)) for relay in range(day.relays.count)
+                    (partner, HostEndpoint(host, relay, destination.number))
+                    for relay in range(day.relays.count)
                 ]
 
-    async def open(self):
+    async def bind_all(self):
         """Binds all listeners. Returns {host name: [[ip, port] for each relay]}."""
         found = {}
         for _, endpoint in self.endpoints:
@@ -148,11 +149,11 @@
     async def call(self, partner, endpoint, sock, stream, parser, request, began, fresh):
         """Handles one complete call. Returns whether the connection stays open."""
         self.calls += 1
-        host, relay, c = endpoint.host, f"n{endpoint.relay}", f"{partner.place.number}.{self.calls}"
+        host, relay, c = endpoint.host, f"n{endpoint.relay}", f"{partner.destination.number}.{self.calls}"
         now, mark = self.clock(), request.headers.get("idempotency-key", "")
         body, name = bytes(request.body), request.headers.get("x-request-id", "")
         host.sockets[sock] = c
-        self.tell(
+        self.record(
             "call",
             now,
             c=c,
@@ -161,7 +162,7 @@
             host=host.name,
             name=host.current_name,
             mark=mark,
-            dst=partner.place.number,
+            dst=partner.destination.number,
             began=began,
             same=body == body_of(mark, len(body)),
         )
@@ -170,17 +171,17 @@
         outcome = partner.arrive(now, host.name, endpoint.relay, mark)
         if outcome.cause == "fell over":
             load, known = partner.record_overload()
-            self.tell("fell", now, dst=partner.place.name, load=load, known=known)
+            self.record("fell", now, dst=partner.destination.name, load=load, known=known)
         after = outcome.after + (span(partner.form.handshake) if fresh else 0)
         due = now + after
         connected = await self.stays_connected(
             sock, None if outcome.failure == "silent" and not outcome.ran else after
         )
         if not connected:
-            self.tell("broke", self.clock(), c=c, by="relay")
+            self.record("broke", self.clock(), c=c, by="relay")
             await trio.sleep(max(0, due - self.clock()) / 1e9)
         if outcome.ran:  # also if the caller has disconnected: the host has received the call
-            self.tell("ran", self.clock(), c=c, id=name, mark=mark, host=host.name)
+            self.record("ran", self.clock(), c=c, id=name, mark=mark, host=host.name)
         if not connected:
             return False
         if outcome.failure:
@@ -188,14 +189,14 @@
         headers = [("Wait-Ms", str(-(-outcome.wait // 1_000_000)))] if outcome.wait else []
         if report := partner.load_report(self.clock()):
             headers.append(("X-Load", f"T x0={report[0]}, x1={report[1]}"))
-        self.tell(
+        self.record(
             "reply",
             self.clock(),
             c=c,
             status=outcome.status,
             wait=outcome.wait,
             relay=relay,
-            dst=partner.place.number,
+            dst=partner.destination.number,
             name=host.current_name,
             cause=outcome.cause,
         )
@@ -211,7 +212,7 @@
         await trio.sleep(after / 1e9)
         with contextlib.suppress(*CONNECTION_ERRORS):
             await sock.send(answer)
-            self.tell("copied", self.clock(), c=c)
+            self.record("copied", self.clock(), c=c)
 
     async def fail_call(self, sock, stream, outcome, c):
         """Ends a call without a valid response: malformed bytes, silence or a reset."""
@@ -221,7 +222,7 @@
                 await stream.send_all(malformed)
         if outcome.failure != "reset":
             await self.stays_connected(sock, None)
-        self.tell("broke", self.clock(), c=c, by="host" if outcome.failure == "reset" else "relay")
+        self.record("broke", self.clock(), c=c, by="host" if outcome.failure == "reset" else "relay")
         abort(sock)
         return False
 
@@ -245,13 +246,13 @@
 
     # Faults.
 
-    async def play(self, number, scheduled, start):
+    async def run_fault(self, number, scheduled, start):
         """Runs one scheduled fault on the hosts of this worker, from begin to end."""
         affected = [
             (partner, host)
             for partner in self.partners
             for host in partner.hosts.values()
-            if host.name in scheduled.names or partner.place.name in scheduled.names
+            if host.name in scheduled.targets or partner.destination.name in scheduled.targets
         ]
         if not affected:
             return
@@ -296,7 +297,7 @@
     def reset_connections(self, host):
         for sock, c in list(host.sockets.items()):
             if c is not None:
-                self.tell("broke", self.clock(), c=c, by="host")
+                self.record("broke", self.clock(), c=c, by="host")
                 host.sockets[sock] = None
             abort(sock)
 
--- a/courseroute/town/judge.py
+++ b/courseroute/emulator/judge.py
@@ -27,7 +27,7 @@
 from typing import NamedTuple
 
 from courseroute.checked import span
-from courseroute.town.script import destinations
+from courseroute.emulator.scenario import destinations
 
 MS = 1_000_000
 S = 1000 * MS
--- a/courseroute/town/null.py
+++ b/courseroute/emulator/null_relay.py
@@ -2,7 +2,7 @@
 
 It serves to measure the load that the emulator itself can generate:
 
-    courseroute town run FILE --relay "python -m courseroute.town.null"
+    courseroute town run FILE --relay "python -m courseroute.emulator.null_relay"
 
 It is not a relay for use: it makes no decisions and guarantees nothing. Relays that are faulty in one way
 each, on which the emulator's judge is tested, are built on it (tests/wrong_relay.py).
@@ -15,8 +15,8 @@
 import trio
 
 from courseroute.checked import made, read
+from courseroute.emulator.hosts import BODY, HEAD
 from courseroute.run.setup import Setup
-from courseroute.town.hosts import BODY, HEAD
 from courseroute.wire.connection import CONNECTION_ERRORS, Connection, PersistentConnection
 from courseroute.wire.http import ProtocolError, ServerConnection
 from courseroute.wire.protocol import parse_address, parse_endpoint_list, parse_message
--- a/courseroute/town/platform.py
+++ b/courseroute/emulator/platform.py
@@ -10,7 +10,7 @@
 import orjson
 import trio
 
-from courseroute.town.hosts import BODY, CONNECTION_ERRORS, HEAD, abort
+from courseroute.emulator.hosts import BODY, CONNECTION_ERRORS, HEAD, abort
 from courseroute.wire.http import ProtocolError, ServerConnection
 
 S = 1_000_000_000
@@ -32,7 +32,7 @@
     def __init__(self, entries):
         self.entries = {entry["name"]: entry for entry in entries}
         self.index, self.changes = 1, []  # (index, entry)
-        self.down, self.late = False, 0
+        self.down, self.delay_ns = False, 0
         self.changed = trio.Event()
 
     def change(self, entry):
@@ -60,19 +60,19 @@
 class Platform:
     """Serves the directory and accepts notices, on one listener for each relay."""
 
-    def __init__(self, directory, addresses, clock, tell, on_notice):
+    def __init__(self, directory, addresses, clock, record, on_notice):
         """`addresses`: {host name: [address for each relay]}; `on_notice`: called for each notice."""
-        self.directory, self.addresses, self.clock, self.tell, self.on_notice = (
+        self.directory, self.addresses, self.clock, self.record, self.on_notice = (
             directory,
             addresses,
             clock,
-            tell,
+            record,
             on_notice,
         )
         self.notices_down = False
         self.unanswered_share = 0.0  # of the notice calls; the notices of half of those are accepted
         self.draw = random.Random(0)
-        self.turn_takes = 0  # service time in nanoseconds of each new call; calls are served one by one
+        self.service_time_ns = 0  # service time in nanoseconds of each new call; calls are served one by one
         self.busy_until = 0
         self.answered_at = {}  # relay -> time of the latest answer to it
         self.silences = 0  # incremented to leave the calls in progress unanswered
@@ -171,14 +171,14 @@
         except (ValueError, KeyError, TypeError):
             return 400, (), b""
         for name, state, after in rows:
-            self.tell("notice", self.clock(), id=name, state=state, after=after)
+            self.record("notice", self.clock(), id=name, state=state, after=after)
             self.on_notice(name, state, after)
         return 204, (), b""
 
     async def watch(self, target, relay):
         """Answers a call for the endpoint list, held open as a long poll until the list changes."""
         index_asked, wait = re.search(r"index=(\d+)", target), re.search(r"wait=(\d+)", target)
-        self.tell("asked", self.clock(), relay=f"n{relay}")
+        self.record("asked", self.clock(), relay=f"n{relay}")
         directory, known = self.directory, int(index_asked[1]) if index_asked else None
         silences = self.silences
         if not await self.wait_for_turn(relay):
@@ -186,8 +186,8 @@
         with trio.move_on_after(min(int(wait[1]) if wait else 0, MAX_WATCH_MS) / 1000 if known else 0):
             while known and directory.index <= known and not directory.down:
                 await directory.changed.wait()
-        if directory.late:
-            await trio.sleep(directory.late / 1e9)
+        if directory.delay_ns:
+            await trio.sleep(directory.delay_ns / 1e9)
         if silences != self.silences:
             await trio.sleep_forever()
         if directory.down:
@@ -200,7 +200,7 @@
             "endpoints": [self.entry_for_relay(entry, relay) for entry in entries],
         }
         for entry in entries:
-            self.tell("told", self.clock(), relay=f"n{relay}", host=entry["name"], status=entry["status"])
+            self.record("told", self.clock(), relay=f"n{relay}", host=entry["name"], status=entry["status"])
         return 200, (), orjson.dumps(answer)
 
     async def wait_for_turn(self, relay):
@@ -210,16 +210,16 @@
         """
         now = self.clock()
         continues = now - self.answered_at.get(relay, -CONTINUES_WITHIN_NS) < CONTINUES_WITHIN_NS
-        if not self.turn_takes or continues:
+        if not self.service_time_ns or continues:
             return True
-        done_at = max(now, self.busy_until) + self.turn_takes
+        done_at = max(now, self.busy_until) + self.service_time_ns
         if done_at > now + MAX_TURN_WAIT_NS:
             return False
         self.busy_until = done_at
         await trio.sleep((done_at - now) / 1e9)
         return True
 
-    def silence_watches(self):
+    def drop_pending_watches(self):
         """Leaves the calls in progress unanswered for ever; later calls are answered."""
         self.silences += 1
 
@@ -235,12 +235,12 @@
         changed.set()
 
 
-def entries_of(destinations):
+def endpoint_entries(destinations):
     """Returns the initial list. `host` is the emulator's own name of the host and is not sent."""
-    return [entry_of(destination, host) for destination in destinations for host in destination.hosts]
+    return [endpoint_entry(destination, host) for destination in destinations for host in destination.hosts]
 
 
-def entry_of(destination, host, status="active", name=None, since=0):
+def endpoint_entry(destination, host, status="active", name=None, since=0):
     """Returns one entry of the list; `since` in milliseconds."""
     return {
         "name": name or host.name,
--- a/courseroute/town/play.py
+++ b/courseroute/emulator/play.py
@@ -1,6 +1,6 @@
 """Runs one day: starts workers, platform and relays, applies the faults and checks the ledger meanwhile.
 
-Called by the command line, the tests and the laboratory: `await play(day, folder, command, watch)`.
+Called by the command line, the tests and the laboratory: `await run_day(day, folder, command, watch)`.
 """
 
 import contextlib
@@ -22,12 +22,18 @@
 import trio
 
 from courseroute.checked import span
-from courseroute.town.clients import REPORTED_LATE
-from courseroute.town.judge import MS, Judge, S
-from courseroute.town.platform import Directory, Platform, entries_of, entry_of
-from courseroute.town.quarter import read_lines, write_line
-from courseroute.town.relays import Relays, default_command
-from courseroute.town.script import PLATFORM_FAULTS, PROCESS_FAULTS, RELAY_FAULTS, destinations, strikes
+from courseroute.emulator.clients import LATENESS_REPORTED_FROM
+from courseroute.emulator.judge import MS, Judge, S
+from courseroute.emulator.platform import Directory, Platform, endpoint_entries, endpoint_entry
+from courseroute.emulator.relays import Relays, default_command
+from courseroute.emulator.scenario import (
+    PLATFORM_FAULTS,
+    PROCESS_FAULTS,
+    RELAY_FAULTS,
+    destinations,
+    scheduled_faults,
+)
+from courseroute.emulator.worker import read_lines, write_line
 
 LEDGER_DELAY = 400 * MS  # rows of all workers arrive within this time; older ones are checked in order
 CHECK_INTERVAL = 0.1  # seconds
@@ -55,7 +61,7 @@
         self.pending_rows, self.row_sequence, self.rows, self.keep_rows = [], itertools.count(), [], keep
         self.destinations = destinations(day)
         self.judge.per_host_destinations = {
-            place.number for place in self.destinations if day.kinds[place.form.kind].apart
+            destination.number for destination in self.destinations if day.kinds[destination.form.kind].apart
         }
         self.workers, self.worker_queues, self.start, self.interrupted = [], [], 0, False
         self.stopping = False  # the workers have been told to end
@@ -89,7 +95,7 @@
         try:
             async with trio.open_nursery() as nursery:
                 hosts = await self.start_workers(nursery, relay_addresses)
-                self.directory = Directory(entries_of(self.destinations))
+                self.directory = Directory(endpoint_entries(self.destinations))
                 self.platform = Platform(self.directory, hosts, self.clock, self.record, self.on_notice)
                 self.relays = Relays(
                     self.day,
@@ -133,7 +139,7 @@
         self.worker_lines = []
         for number in range(count):
             process = await trio.lowlevel.open_process(
-                [sys.executable, "-m", "courseroute.town.quarter"],
+                [sys.executable, "-m", "courseroute.emulator.worker"],
                 stdin=subprocess.PIPE,
                 stdout=subprocess.PIPE,
                 env=os.environ | {"PYTHONPATH": os.pathsep.join(sys.path)},
@@ -172,8 +178,8 @@
             self.worker_queues.append(queue)
             nursery.start_soon(self.send, process, messages)
             nursery.start_soon(self.read_worker, lines)
-        for strike in strikes(self.day):
-            nursery.start_soon(self.run_fault, nursery, strike)
+        for scheduled in scheduled_faults(self.day):
+            nursery.start_soon(self.run_fault, nursery, scheduled)
         last = self.start + span(self.day.lasts)
         most = last + max(span(lane.deadline) for lane in self.day.lanes.values()) + 3 * S
         while True:
@@ -190,7 +196,7 @@
         platform was then read late."""
         due = self.clock() + int(CHECK_INTERVAL * S)
         await trio.sleep(CHECK_INTERVAL)
-        if (by := self.clock() - due) > REPORTED_LATE:
+        if (by := self.clock() - due) > LATENESS_REPORTED_FROM:
             self.record("late", self.clock(), by=by)
 
     def any_relay_down(self):
@@ -242,32 +248,32 @@
 
     # Faults of relays and platform, and status changes of hosts.
 
-    async def run_fault(self, nursery, strike):
-        await trio.sleep(max(0, self.start + strike.begin - self.clock()) / 1e9)
+    async def run_fault(self, nursery, scheduled):
+        await trio.sleep(max(0, self.start + scheduled.begin - self.clock()) / 1e9)
         self.record(
             "fault",
             self.clock(),
-            kind=strike.kind,
-            names=list(strike.names),
+            kind=scheduled.kind,
+            names=list(scheduled.targets),
             begins=True,
-            until=self.start + strike.end,
+            until=self.start + scheduled.end,
         )
-        if strike.kind in RELAY_FAULTS:
+        if scheduled.kind in RELAY_FAULTS:
             for relay in self.relays.relays:
-                if relay.name in strike.names:
-                    nursery.start_soon(self.run_relay_fault, nursery, relay, strike)
-        elif strike.kind in PLATFORM_FAULTS:
-            await self.run_platform_fault(strike)
-        elif strike.kind in ("drain", "leave", "replace"):
-            await self.run_directory_fault(strike)
-
-    async def run_relay_fault(self, nursery, relay, strike):
-        lasts = strike.end - strike.begin
-        if strike.kind == "requests-late":  # caused by the clients
+                if relay.name in scheduled.targets:
+                    nursery.start_soon(self.run_relay_fault, nursery, relay, scheduled)
+        elif scheduled.kind in PLATFORM_FAULTS:
+            await self.run_platform_fault(scheduled)
+        elif scheduled.kind in ("drain", "leave", "replace"):
+            await self.run_directory_fault(scheduled)
+
+    async def run_relay_fault(self, nursery, relay, scheduled):
+        lasts = scheduled.end - scheduled.begin
+        if scheduled.kind == "requests-late":  # caused by the clients
             return
-        if strike.kind in PROCESS_FAULTS:
-            await self.relays.run_process_fault(relay, strike)
-        elif strike.kind == "wipe":
+        if scheduled.kind in PROCESS_FAULTS:
+            await self.relays.run_process_fault(relay, scheduled)
+        elif scheduled.kind == "wipe":
             nursery.start_soon(self.relays.kill, relay, True)
             await trio.sleep(max(span(self.day.relays.noticed_after), 2 * LEDGER_DELAY) / 1e9)
             for msg in [
@@ -279,7 +285,7 @@
                 and msg.closed_at is None
             ]:
                 self.send_to_workers({"do": "again", "n": msg.n, "after": 0, "mark": "again"})
-        elif strike.kind == "reload":
+        elif scheduled.kind == "reload":
             self.relays.configure(relay, await self.platform.move(relay.number, nursery))
             self.relays.reload(relay)
         else:
@@ -290,17 +296,17 @@
                 "crowd": lambda: self.relays.open_idle_connections(relay, lasts),
                 "pause": lambda: self.relays.pause(relay, lasts),
                 "disk-full": lambda: self.relays.block_file_growth(relay, lasts),
-            }[strike.kind]()
-
-    async def run_platform_fault(self, strike):
-        platform, lasts = self.platform, (strike.end - strike.begin) / 1e9
-        if strike.kind == "watches-silent":
-            platform.silence_watches()
-        elif strike.kind == "directory-crowded":
-            platform.turn_takes = span(strike.fault.by)
+            }[scheduled.kind]()
+
+    async def run_platform_fault(self, scheduled):
+        platform, lasts = self.platform, (scheduled.end - scheduled.begin) / 1e9
+        if scheduled.kind == "watches-silent":
+            platform.drop_pending_watches()
+        elif scheduled.kind == "directory-crowded":
+            platform.service_time_ns = span(scheduled.fault.by)
             await trio.sleep(lasts)
-            platform.turn_takes = 0
-        elif strike.kind == "directory-down":
+            platform.service_time_ns = 0
+        elif scheduled.kind == "directory-down":
             self.directory_faults += 1
             if self.directory_faults == 1:
                 platform.set_down(True)
@@ -310,15 +316,15 @@
             if not self.directory_faults:  # another outage may have begun meanwhile
                 platform.set_down(False)
                 self.record("platform", self.clock(), now="directory-up")
-        elif strike.kind == "notices-unanswered":
-            platform.draw = random.Random(f"{self.day.seed} {strike.begin}")
-            platform.unanswered_share = strike.fault.share
+        elif scheduled.kind == "notices-unanswered":
+            platform.draw = random.Random(f"{self.day.seed} {scheduled.begin}")
+            platform.unanswered_share = scheduled.fault.share
             await trio.sleep(lasts)
             platform.unanswered_share = 0.0
-        elif strike.kind == "directory-late":
-            self.directory.late = span(strike.fault.by)
+        elif scheduled.kind == "directory-late":
+            self.directory.delay_ns = span(scheduled.fault.by)
             await trio.sleep(lasts)
-            self.directory.late = 0
+            self.directory.delay_ns = 0
         else:
             platform.notices_down = True
             self.record("platform", self.clock(), now="notices-down")
@@ -326,29 +332,32 @@
             platform.notices_down = False
             self.record("platform", self.clock(), now="notices-up")
 
-    async def run_directory_fault(self, strike):
+    async def run_directory_fault(self, scheduled):
         """Drains, removes or replaces hosts in the directory."""
         affected = [
-            (place, host) for place in self.destinations for host in place.hosts if host.name in strike.names
+            (destination, host)
+            for destination in self.destinations
+            for host in destination.hosts
+            if host.name in scheduled.targets
         ]
-        for place, host in affected:
-            if strike.kind == "replace":
-                self.change_status(place, host, "left")
+        for destination, host in affected:
+            if scheduled.kind == "replace":
+                self.change_status(destination, host, "left")
                 self.change_status(
-                    place, host, "active", f"{host.name}+{int(strike.begin)}", time.time_ns() // MS
+                    destination, host, "active", f"{host.name}+{int(scheduled.begin)}", time.time_ns() // MS
                 )
             else:
-                self.change_status(place, host, "leaving")
-        if strike.kind == "leave":
+                self.change_status(destination, host, "leaving")
+        if scheduled.kind == "leave":
             await trio.sleep(LEFT_DELAY)
-        elif strike.kind == "drain":
-            await trio.sleep((strike.end - strike.begin) / 1e9)
-        for place, host in affected:
-            if strike.kind != "replace":
-                self.change_status(place, host, "left" if strike.kind == "leave" else "active")
-
-    def change_status(self, place, host, status, name=None, since=0):
-        entry = entry_of(place, host, status, name, since)
+        elif scheduled.kind == "drain":
+            await trio.sleep((scheduled.end - scheduled.begin) / 1e9)
+        for destination, host in affected:
+            if scheduled.kind != "replace":
+                self.change_status(destination, host, "left" if scheduled.kind == "leave" else "active")
+
+    def change_status(self, destination, host, status, name=None, since=0):
+        entry = endpoint_entry(destination, host, status, name, since)
         self.record("changed", self.clock(), host=entry["name"], status=status)
         self.directory.change(entry)
 
@@ -362,12 +371,12 @@
     """An unused [address, port]: the address is the relay's own, the port is random."""
     draw = random.SystemRandom()
     while True:
-        place = f"127.18.{number}.1", draw.randrange(20000, 32000)  # below the ephemeral ports
+        address = f"127.18.{number}.1", draw.randrange(20000, 32000)  # below the ephemeral ports
         with socket.socket() as sock, contextlib.suppress(OSError):
-            sock.bind(place)
-            return list(place)
+            sock.bind(address)
+            return list(address)
 
 
-async def play(day, folder, command=None, watch=None, keep=True):
+async def run_day(day, folder, command=None, watch=None, keep=True):
     """Runs a day in `folder` and returns its DayResult; see Emulation."""
     return await Emulation(day, folder, command, keep).play(watch)
--- a/courseroute/town/relays.py
+++ b/courseroute/emulator/relays.py
@@ -19,9 +19,9 @@
 import trio
 
 from courseroute.checked import span
+from courseroute.emulator.clients import Reachability
+from courseroute.emulator.scenario import PROCESS_FAULTS, scheduled_faults
 from courseroute.run.setup import Fleet, Limits, Setup
-from courseroute.town.clients import Reach
-from courseroute.town.script import PROCESS_FAULTS, strikes
 
 READY = b"GET /ready HTTP/1.1\r\nHost: town\r\nConnection: close\r\n\r\n"
 PARTIAL_REQUEST = b"POST /notice HTTP/1.1\r\nHost: town\r\nX-Request-Id: "
@@ -45,7 +45,7 @@
         self.was_ready = False  # whether the current process has been ready
         self.peak_usage = {"memory_kb": 0, "descriptors": 0, "disk_kb": 0}
         self.cpu = self.current_cpu = 0.0  # CPU seconds of the ended processes; of the current one
-        self.faults = {}  # active process faults, as read by town/shims/sitecustomize.py
+        self.faults = {}  # active process faults, as read by emulator/shims/sitecustomize.py
         self.faults_file = self.folder / "faults.json"
         self.write_faults()
 
@@ -65,11 +65,12 @@
     """All relays of a day. Every event is recorded in the ledger."""
 
     def __init__(self, day, folder, addresses, command, clock, record, set_reachability):
-        """`set_reachability` is called with (relay number, Reach) when the clients' routing changes."""
+        """`set_reachability` is called with (relay number, Reachability) when the clients' routing
+        changes."""
         self.day, self.clock, self.record, self.set_reachability = day, clock, record, set_reachability
         self.relays = [Relay(i, folder, address, command) for i, address in enumerate(addresses)]
         self.nursery = None
-        self.needs_shims = any(strike.kind in PROCESS_FAULTS for strike in strikes(day))
+        self.needs_shims = any(scheduled.kind in PROCESS_FAULTS for scheduled in scheduled_faults(day))
 
     def configure(self, relay, directory):
         """Writes the relay's configuration; `directory` is the address of its directory."""
@@ -115,7 +116,7 @@
                 if await self.is_ready(relay):
                     relay.was_ready = True
                     self.record("relay", self.clock(), relay=relay.name, now="ready")
-                    self.set_reachability(relay.number, Reach.ANY)
+                    self.set_reachability(relay.number, Reachability.ANY)
                     return True
                 await trio.sleep(0.03)
         return False
@@ -169,7 +170,7 @@
         start_count = relay.start_count
         await trio.sleep(span(self.day.relays.noticed_after) / 1e9)
         if relay.start_count == start_count:
-            self.set_reachability(relay.number, Reach.NONE)
+            self.set_reachability(relay.number, Reachability.NONE)
 
     async def restart_after_exit(self, relay):
         """Waits for the process to end, starts the relay again and waits until it serves."""
@@ -204,8 +205,8 @@
             return
         if in_use:
             self.nursery.start_soon(self.repeat_signals, relay, relay.process)
-        await self.stop(relay, Reach.OPEN if in_use else Reach.NONE)
-        self.set_reachability(relay.number, Reach.NONE)
+        await self.stop(relay, Reachability.OPEN if in_use else Reachability.NONE)
+        self.set_reachability(relay.number, Reachability.NONE)
         await self.restart_after_exit(relay)
 
     async def repeat_signals(self, relay, process):
@@ -282,11 +283,11 @@
             await trio.sleep(ns / 1e9)
             resource.prlimit(pid, resource.RLIMIT_FSIZE, (free, free))
 
-    async def run_process_fault(self, relay, strike):
+    async def run_process_fault(self, relay, scheduled):
         """Activates a fault inside the relay's process, and in processes started meanwhile. A step of the
         wall clock is permanent."""
-        fault = strike.fault
-        if strike.kind == "clock-step":
+        fault = scheduled.fault
+        if scheduled.kind == "clock-step":
             step_s = span(fault.by) / 1e9 * (-1 if fault.back else 1)
             relay.faults["wall_clock_step_s"] = relay.faults.get("wall_clock_step_s", 0.0) + step_s
             return relay.write_faults()
@@ -294,10 +295,10 @@
             "system-calls": {"system_call_share": fault.share},
             "held-up": {"held_up_share": fault.share, "held_up_s": span(fault.by) / 1e9},
             "disk-errors": {"disk_fails": True},
-        }[strike.kind]
+        }[scheduled.kind]
         relay.faults |= settings
         relay.write_faults()
-        await trio.sleep((strike.end - strike.begin) / 1e9)
+        await trio.sleep((scheduled.end - scheduled.begin) / 1e9)
         for name in settings:
             relay.faults.pop(name, None)
         relay.write_faults()
--- a/courseroute/town/report.py
+++ b/courseroute/emulator/report.py
@@ -6,8 +6,8 @@
 import numpy as np
 
 from courseroute.checked import span
-from courseroute.town.judge import RULES
-from courseroute.town.script import destinations
+from courseroute.emulator.judge import RULES
+from courseroute.emulator.scenario import destinations
 
 MS = 1_000_000
 
--- a/courseroute/town/script.py
+++ b/courseroute/emulator/scenario.py
@@ -33,7 +33,12 @@
     "limit",
     "answer-copied",
 }
-PROCESS_FAULTS = {"system-calls", "held-up", "disk-errors", "clock-step"}  # caused in a relay by town/shims
+PROCESS_FAULTS = {
+    "system-calls",
+    "held-up",
+    "disk-errors",
+    "clock-step",
+}  # caused in a relay by emulator/shims
 RELAY_FAULTS = PROCESS_FAULTS | {
     "kill",
     "restart",
@@ -221,7 +226,7 @@
                 yield f"fault[{at}].at", fault.at, f"a time before the last arrival, {self.lasts}"
 
 
-class HostPlace(NamedTuple):
+class HostSpec(NamedTuple):
     """One host of a destination."""
 
     name: str  # insurer-0.1
@@ -229,7 +234,7 @@
     area: str
 
 
-class Place(NamedTuple):
+class Destination(NamedTuple):
     """One destination, its number on the wire, its settings and its hosts."""
 
     number: int
@@ -238,13 +243,13 @@
     hosts: tuple
 
 
-class Strike(NamedTuple):
+class ScheduledFault(NamedTuple):
     """One scheduled fault: its times in nanoseconds from the day's start and the names of what it affects."""
 
     kind: str
     begin: int
     end: int
-    names: tuple
+    targets: tuple
     fault: Fault
 
 
@@ -305,13 +310,13 @@
         for i in range(form.count):
             own_name = f"{name}-{i}"
             hosts = tuple(
-                HostPlace(f"{own_name}.{h}", h, form.areas[h % len(form.areas)]) for h in range(form.hosts)
+                HostSpec(f"{own_name}.{h}", h, form.areas[h % len(form.areas)]) for h in range(form.hosts)
             )
-            result.append(Place(len(result) + 1, own_name, form, hosts))
+            result.append(Destination(len(result) + 1, own_name, form, hosts))
     return result
 
 
-def strikes(day):
+def scheduled_faults(day):
     """All faults of the day, listed and random ones, in order of their beginning."""
     result = [schedule(day, fault) for fault in day.fault]
     if drawn := day.faults_drawn:
@@ -332,7 +337,7 @@
             )
             result.append(schedule(day, fault))
             at += int(span(drawn.every) * rng.uniform(0.5, 1.5))
-    return sorted(result, key=lambda one: (one.begin, one.kind, one.names))
+    return sorted(result, key=lambda one: (one.begin, one.kind, one.targets))
 
 
 def random_by(kind, rng):
@@ -350,7 +355,8 @@
 
 
 def schedule(day, fault):
-    """The Strike of a fault. A host fault names hosts; and destinations, if it affects all of their hosts."""
+    """The ScheduledFault of a fault. A host fault names hosts; and destinations, if it affects all of their
+    hosts."""
     begin = span(fault.at)
     end = begin + (span(fault.lasts) if fault.lasts else 0)
     if fault.kind in RELAY_FAULTS | {"hot-client"}:
@@ -365,7 +371,7 @@
         ]
     else:
         names = [dst.name for dst in destinations(day) if fnmatchcase(dst.name, fault.where)]
-    return Strike(fault.kind, begin, end, tuple(names), fault)
+    return ScheduledFault(fault.kind, begin, end, tuple(names), fault)
 
 
 def arrivals(day):
@@ -375,19 +381,23 @@
     dst_shares = np.array([dst.form.share for dst in all_destinations])
     lane_shares = np.array([day.traffic.lanes[name] for name in lanes])
     lane_shares = lane_shares / lane_shares.sum()
-    traffic_faults = [strike for strike in strikes(day) if strike.kind in TRAFFIC_FAULTS]
+    traffic_faults = [scheduled for scheduled in scheduled_faults(day) if scheduled.kind in TRAFFIC_FAULTS]
     result, at, end = [], 0.0, span(day.lasts)
     while True:
         rate, shares, senders = day.traffic.rate, dst_shares, []
-        for strike in traffic_faults:
-            if strike.begin <= at < strike.end:
-                if strike.kind == "burst":
-                    rate *= strike.fault.factor
-                elif strike.kind == "hot-client":
-                    senders = strike.names if rng.random() < strike.fault.share else []
+        for scheduled in traffic_faults:
+            if scheduled.begin <= at < scheduled.end:
+                if scheduled.kind == "burst":
+                    rate *= scheduled.fault.factor
+                elif scheduled.kind == "hot-client":
+                    senders = scheduled.targets if rng.random() < scheduled.fault.share else []
                 else:
-                    is_hot = np.array([dst.name in strike.names for dst in all_destinations])
-                    others, hot, hot_share = shares * ~is_hot, shares * is_hot, min(strike.fault.share, 0.9)
+                    is_hot = np.array([dst.name in scheduled.targets for dst in all_destinations])
+                    others, hot, hot_share = (
+                        shares * ~is_hot,
+                        shares * is_hot,
+                        min(scheduled.fault.share, 0.9),
+                    )
                     shares = others / max(others.sum(), 1e-9) * (1 - hot_share) + hot / hot.sum() * hot_share
         at += (rng.exponential(1 / rate) if day.traffic.arrivals == "poisson" else 1 / rate) * S
         if at >= end:
--- a/courseroute/town/scripted.py
+++ b/courseroute/emulator/scripted_peers.py
@@ -12,9 +12,9 @@
 import trio
 
 from courseroute.checked import made
-from courseroute.town.hosts import Hosts
-from courseroute.town.platform import Directory, Platform, entry_of
-from courseroute.town.script import Day, HostPlace, Partner, Place
+from courseroute.emulator.hosts import Hosts
+from courseroute.emulator.platform import Directory, Platform, endpoint_entry
+from courseroute.emulator.scenario import Day, Destination, HostSpec, Partner
 
 DAY = {
     "partners": {"d": {"connections": 4096, "idle_close": "60s"}},
@@ -28,9 +28,9 @@
 class PlannedHosts(Hosts):
     """Hosts that answer each call as the plan says."""
 
-    def __init__(self, town, destinations):
-        super().__init__(made(DAY, Day), destinations, time.monotonic_ns, town.tell)
-        self.town = town
+    def __init__(self, peers, destinations):
+        super().__init__(made(DAY, Day), destinations, time.monotonic_ns, peers.record)
+        self.peers = peers
 
     async def call(self, partner, endpoint, sock, stream, parser, request, began, fresh):
         """Handles one complete call. Returns whether the connection stays open."""
@@ -40,11 +40,11 @@
             "at": time.time(),
             "key": request.headers.get("idempotency-key"),
             "body": bytes(request.body),
-            "n": len(self.town.calls),
+            "n": len(self.peers.calls),
             "port": sock.getpeername()[1],
         }
-        self.town.calls.append(call)
-        plan = await trio.to_thread.run_sync(self.town.plan, call, limiter=self.town.planning)
+        self.peers.calls.append(call)
+        plan = await trio.to_thread.run_sync(self.peers.plan, call, limiter=self.peers.planning)
         if plan == "hang":
             with trio.move_on_after(HANG / 1e9):
                 await self.stays_connected(sock, None)
@@ -69,24 +69,24 @@
     While `platform_status` of the town is set, it answers all calls with that status.
     """
 
-    def __init__(self, town, directory, addresses):
-        super().__init__(directory, addresses, time.monotonic_ns, town.tell, town.notice)
-        self.town = town
+    def __init__(self, peers, directory, addresses):
+        super().__init__(directory, addresses, time.monotonic_ns, peers.record, peers.notice)
+        self.peers = peers
 
     async def answer(self, request, relay):
         if request.method == "GET":
-            self.town.watches.append((time.time(), request.target, relay))
-            plan = self.town.discovery_plan(len(self.town.watches) - 1)
+            self.peers.watches.append((time.time(), request.target, relay))
+            plan = self.peers.discovery_plan(len(self.peers.watches) - 1)
             if plan == "silent":
                 await trio.sleep_forever()
             if plan in MALFORMED:
                 return plan, *await super().answer(request, relay)
             if plan is not None:
                 return plan, (), b""
-        if self.town.platform_status:
-            return self.town.platform_status, (), b""
+        if self.peers.platform_status:
+            return self.peers.platform_status, (), b""
         if request.method == "POST":
-            self.town.posts.append(relay)
+            self.peers.posts.append(relay)
         return await super().answer(request, relay)
 
     def encode_answer(self, parser, answer):
@@ -103,7 +103,7 @@
         return super().__getitem__(0)
 
 
-class ScriptedTown:
+class ScriptedPeers:
     """One destination, number 7, with the hosts named, and a platform. Runs until `close`.
 
     Records all calls, notices and calls for the endpoint list in lists that a test may read at any time.
@@ -114,7 +114,9 @@
         self.plan, self.platform_status = lambda call: (200, {}), None
         # For the n-th call for the endpoint list. None: as usual; or "silent", "half", "noise" or a status.
         self.discovery_plan = lambda n: None
-        self.place = Place(7, "d", Partner(), tuple(HostPlace(name, i, "z") for i, name in enumerate(hosts)))
+        self.destination = Destination(
+            7, "d", Partner(), tuple(HostSpec(name, i, "z") for i, name in enumerate(hosts))
+        )
         self.up, self.moves = threading.Event(), 0
         self.thread = threading.Thread(target=trio.run, args=(self.run,), daemon=True)
         self.thread.start()
@@ -124,17 +126,17 @@
         self.token, self.ended = trio.lowlevel.current_trio_token(), trio.Event()
         self.planning = trio.CapacityLimiter(200)
         async with trio.open_nursery() as self.nursery:
-            hosts = PlannedHosts(self, [self.place])
-            self.where = {name: SameForAll(found) for name, found in (await hosts.open()).items()}
+            hosts = PlannedHosts(self, [self.destination])
+            self.where = {name: SameForAll(found) for name, found in (await hosts.bind_all()).items()}
             await hosts.serve(self.nursery)
-            self.directory = Directory([self.entry(host) for host in self.place.hosts])
+            self.directory = Directory([self.entry(host) for host in self.destination.hosts])
             self.platform = PlannedPlatform(self, self.directory, self.where)
             self.discovery = await self.platform.listen(0, self.nursery)
             self.up.set()
             await self.ended.wait()
             self.nursery.cancel_scope.cancel()
 
-    def tell(self, what, at, **row):
+    def record(self, what, at, **row):
         """Adds a row to the ledger; `at` in nanoseconds."""
         self.rows.append({"at": at, "what": what, **row})
 
@@ -144,11 +146,11 @@
 
     def entry(self, host, status="active"):
         """Returns a host's entry as the directory keeps it."""
-        return entry_of(self.place, host, status) | {"type": "k"}
+        return endpoint_entry(self.destination, host, status) | {"type": "k"}
 
     def entries(self):
         """Returns the initial list as it is sent to relays."""
-        return [self.platform.entry_for_relay(self.entry(host), 0) for host in self.place.hosts]
+        return [self.platform.entry_for_relay(self.entry(host), 0) for host in self.destination.hosts]
 
     def run_on_loop(self, function, *args):
         """Calls a function on the thread of the trio loop and returns its result."""
@@ -156,7 +158,7 @@
 
     def change(self, name, status):
         """Changes a host's status in the directory: active, leaving or left."""
-        host = next(host for host in self.place.hosts if host.name == name)
+        host = next(host for host in self.destination.hosts if host.name == name)
         self.run_on_loop(self.directory.change, self.entry(host, status))
 
     def move_platform(self, how):
--- a/courseroute/town/soak.py
+++ b/courseroute/emulator/soak.py
@@ -15,7 +15,7 @@
 import orjson
 import trio
 
-from courseroute.town.script import load, strikes
+from courseroute.emulator.scenario import load, scheduled_faults
 
 MOST_VOID = 0.05  # of all days; a soak with more void days has failed
 KEPT, BROKEN, VOID, FAILED = "kept", "broken", "void", "failed"
@@ -125,7 +125,7 @@
 
 def kinds_of(day, seed):
     """The kinds of the faults in a day's file with that seed."""
-    return tuple(sorted({strike.kind for strike in strikes(load(day, seed=seed))}))
+    return tuple(sorted({scheduled.kind for scheduled in scheduled_faults(load(day, seed=seed))}))
 
 
 def seeds_of(text):
--- a/courseroute/town/quarter.py
+++ b/courseroute/emulator/worker.py
@@ -1,6 +1,6 @@
 """A worker process of the emulator: runs the hosts of some destinations and a share of the clients.
 
-    python -m courseroute.town.quarter
+    python -m courseroute.emulator.worker
 
 Started by `play`, with JSON lines on standard input and output. The first line read holds the day, the
 worker's number and the relays' addresses; the worker answers with the addresses of its hosts. The next line
@@ -16,9 +16,9 @@
 import orjson
 import trio
 
-from courseroute.town.clients import Clients, Reach
-from courseroute.town.hosts import Hosts
-from courseroute.town.script import HOST_FAULTS, Day, arrivals, destinations, strikes
+from courseroute.emulator.clients import Clients, Reachability
+from courseroute.emulator.hosts import Hosts
+from courseroute.emulator.scenario import HOST_FAULTS, Day, arrivals, destinations, scheduled_faults
 
 FLUSH_INTERVAL_S = 0.02
 TICK_S, REPORTED_DELAY_NS = 0.05, 100_000_000
@@ -44,23 +44,23 @@
 
     async def run(self, lines, out):
         """Runs the day; `lines` yields the main process's messages, `out` is the stream back to it."""
-        await write_line(out, {"hosts": await self.hosts.open()})
+        await write_line(out, {"hosts": await self.hosts.bind_all()})
         start = (await anext(lines))["start"]
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self.flush, out)
             nursery.start_soon(self.tick)
             await self.hosts.serve(nursery)
-            for number, strike in enumerate(strikes(self.day)):
-                if strike.kind in HOST_FAULTS:
-                    nursery.start_soon(self.hosts.play, number, strike, start)
-                elif strike.kind == "requests-late":
-                    nursery.start_soon(self.clients.play, number, strike, start)
+            for number, scheduled in enumerate(scheduled_faults(self.day)):
+                if scheduled.kind in HOST_FAULTS:
+                    nursery.start_soon(self.hosts.run_fault, number, scheduled, start)
+                elif scheduled.kind == "requests-late":
+                    nursery.start_soon(self.clients.run_fault, number, scheduled, start)
             nursery.start_soon(self.clients.serve, nursery, start)
             async for message in lines:
                 if message["do"] == "relay":
-                    self.clients.front.reach[message["relay"]] = Reach(message["reach"])
+                    self.clients.router.reachability[message["relay"]] = Reachability(message["reach"])
                 elif message["do"] == "again":
-                    self.clients.again(message["n"], message["after"], message["mark"])
+                    self.clients.resubmit(message["n"], message["after"], message["mark"])
                 elif message["do"] == "end":
                     break
             nursery.cancel_scope.cancel()
--- a/courseroute/journal/tools.py
+++ b/courseroute/journal/tools.py
@@ -40,7 +40,7 @@
             yield name, frames.header_of(data, name), data
 
 
-def rows(folder):
+def read_rows(folder):
     """Every record and unreadable range of the folder's segments, and of an earlier version's log, as a plain
     map."""
     disk = Disk(folder)
@@ -68,12 +68,12 @@
     return {"kind": name, **fields, **({"body": body_bytes} if name == "taken" else {})}
 
 
-def state(folder):
+def folder_state(folder):
     """The state that the records describe: open messages with their attempts, pending notices, recently
     closed messages, and the ranges that could not be read."""
     bad = [
         {part: row[part] for part in ("segment", "kind", "at", "bytes")}
-        for row in rows(folder)
+        for row in read_rows(folder)
         if row["kind"] in ("torn", "damaged", "foreign")
     ]
     now, held = replayed(folder), {}
@@ -110,17 +110,17 @@
 def verify(folder):
     """The unreadable ranges of the folder, except an incomplete record at the end of the newest segment,
     which a crash may leave."""
-    bad = state(folder)["bad"]
+    bad = folder_state(folder)["bad"]
     newest = max((name for name, _, _ in segments(folder)), default="")
     return [one for one in bad if not (one["kind"] == "torn" and one["segment"] == newest)]
 
 
 def stat(folder):
     """Totals by segment: bytes, records by kind, bytes of open messages and pending notices."""
-    now = state(folder)
+    now = folder_state(folder)
     live = now["held"].keys() | now["owed"].keys()
     found = {}
-    for row in rows(folder):
+    for row in read_rows(folder):
         one = found.setdefault(row["segment"], {"records": 0, "bytes": 0, "live_bytes": 0, "kinds": {}})
         one["records"] += 1
         one["bytes"] += row.get("bytes", 0)
@@ -189,7 +189,7 @@
     return sum(len(data) for _, _, data in segments(folder))
 
 
-def lines(folder):
+def dump_lines(folder):
     """The rows of `rows`, each as a line of JSON without the line end."""
-    for row in rows(folder):
+    for row in read_rows(folder):
         yield orjson.dumps(row)
--- a/courseroute/run/setup.py
+++ b/courseroute/run/setup.py
@@ -1,7 +1,8 @@
 """The settings of a relay: the platform's JSON and an installation's TOML file both become one Setup.
 
 `Setup.terms()` is the plain map of settings that is passed to the dispatcher; settings missing in the file
-are absent there. Used by `run.config`; the emulator (`courseroute.town`) writes such files for its relays.
+are absent there. Used by `run.config`; the emulator (`courseroute.emulator`) writes such files for its
+relays.
 """
 
 import re
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 
 from courseroute.decide import MS, Dispatcher, S
-from courseroute.town.scripted import ScriptedTown
+from courseroute.emulator.scripted_peers import ScriptedPeers
 
 LANES = {
     "retriable": {"target": 2 * S, "deadline": 16 * S, "effect": "retriable"},
@@ -24,7 +24,7 @@
 }
 
 
-class Relay:
+class DispatcherHarness:
     """Drives a Dispatcher under simulated time: calls its methods and records the actions that it returns.
 
     `hosts`: pairs of a host name and its rate; all are ready, in zone "z", of destination "d". `seen` lists
@@ -46,40 +46,42 @@
             "lanes": LANES,
             "kinds": {"plain": {"apart": False, "per_call": 1}, "apart": {"apart": True, "per_call": 5}},
         }
-        self.now, self.n, self.seen = 1000 * S, 0, []
-        self.relay = Dispatcher(7, settings | changes)
-        self.tell("start")
-        self.tell("update_endpoints", "full", [(name, "ready", "z", rate, kind, "d") for name, rate in hosts])
+        self.now, self.n, self.actions = 1000 * S, 0, []
+        self.dispatcher = Dispatcher(7, settings | changes)
+        self.apply("start")
+        self.apply(
+            "update_endpoints", "full", [(name, "ready", "z", rate, kind, "d") for name, rate in hosts]
+        )
 
-    def tell(self, method, *arguments):
+    def apply(self, method, *arguments):
         """Calls a method of the Dispatcher; returns the actions apart from wake-ups and log events."""
-        actions = getattr(self.relay, method)(self.now, *arguments) + self.relay.end_batch(self.now)
-        self.seen += [(self.now, *action) for action in actions]
+        actions = getattr(self.dispatcher, method)(self.now, *arguments) + self.dispatcher.end_batch(self.now)
+        self.actions += [(self.now, *action) for action in actions]
         return [action for action in actions if action[0] not in ("wake", "log")]
 
-    def take(self, lane="retriable", key=None, left=16 * S, dst="d"):
+    def accept(self, lane="retriable", key=None, left=16 * S, dst="d"):
         """Submits a message; returns its id and the actions."""
         self.n += 1
-        return f"m{self.n}", self.tell("accept", f"m{self.n}", dst, lane, self.now + left, key, None, False)
+        return f"m{self.n}", self.apply("accept", f"m{self.n}", dst, lane, self.now + left, key, None, False)
 
-    def back(self, name, ending, n=0, host="a", wait=0, over=None, took=100 * MS, report=None):
+    def report_outcome(self, name, ending, n=0, host="a", wait=0, over=None, took=100 * MS, report=None):
         """Reports the outcome of attempt `n` of a message; returns the actions."""
         over = ending == "delivered" if over is None else over
-        return self.tell("attempt_ended", name, n, host, ending, took, wait, report, over)
+        return self.apply("attempt_ended", name, n, host, ending, took, wait, report, over)
 
     def run(self, span, step=5 * MS):
         """Advances the time by `span` with a wake-up at each step; returns the actions."""
         actions_taken, end = [], self.now + span
         while self.now < end:
             self.now += step
-            actions_taken += self.tell("wake")
+            actions_taken += self.apply("wake")
         return actions_taken
 
     def sends(self):
-        return [action for action in self.seen if action[1] == "send"]
+        return [action for action in self.actions if action[1] == "send"]
 
 
-def named(actions, kind):
+def actions_named(actions, kind):
     """The actions of one kind."""
     return [action for action in actions if action[0] == kind]
 
@@ -136,7 +138,7 @@
     return f"127.40.{worker}.1"
 
 
-class Town(ScriptedTown):
+class RelayUnderTest(ScriptedPeers):
     """Scripted hosts and platform, and one relay that is started with the command of the deploy file."""
 
     def __init__(self, folder, limits=None, known=True, slots=8, hosts=("h1", "h2")):
@@ -166,13 +168,13 @@
     def start(self, wait=True, **faults):
         """Starts the relay; with `wait`, returns whether it became ready in time.
 
-        `faults`: variables of courseroute/town/shims/sitecustomize.py, such as wall_clock_step_s=-2.
+        `faults`: variables of courseroute/emulator/shims/sitecustomize.py, such as wall_clock_step_s=-2.
         """
         self.configure()
         env = {"ROUTER_CONFIG": str(self.folder / "config.json"), "ROUTER_STATE": str(self.folder / "state")}
         if faults:
             env |= {name.upper(): str(value) for name, value in faults.items()}
-            env["PYTHONPATH"] = str(ROOT / "courseroute" / "town" / "shims")
+            env["PYTHONPATH"] = str(ROOT / "courseroute" / "emulator" / "shims")
         command = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["run"]
         self.log = open(self.folder / "out", "ab")
         self.relay = subprocess.Popen(
@@ -182,7 +184,7 @@
             stdout=self.log,
             stderr=self.log,
         )
-        return not wait or until(lambda: self.ask("GET", "/ready")[0] == 200)
+        return not wait or wait_until(lambda: self.ask("GET", "/ready")[0] == 200)
 
     def ask(self, method, path, headers=None, body=b"", within=2):
         """(status, headers) of the answer; (0, {}) if none came."""
@@ -196,7 +198,7 @@
         finally:
             connection.close()
 
-    def hand_in(self, name, lane="notice", body=b"x", left="8000m", **more):
+    def submit(self, name, lane="notice", body=b"x", left="8000m", **more):
         """Submits a message with a POST; returns the status, 0 without an answer."""
         headers = {
             "X-Request-Id": name,
@@ -223,7 +225,7 @@
                 pass
             return received
 
-    def sent(self, name):
+    def calls_for(self, name):
         """The calls that hosts received for a message."""
         return [call for call in self.calls if call["id"] == name]
 
@@ -245,7 +247,7 @@
         super().close()
 
 
-def until(condition, within=6.0):
+def wait_until(condition, within=6.0):
     """Waits until `condition()` is true, at most `within` seconds; returns whether it is."""
     end = time.time() + within
     while time.time() < end:
@@ -256,7 +258,8 @@
 
 
 def until_in_running_time(condition, within):
-    """Like `until`, but counts only its own sleeps, so delays of the test machine do not use up the time."""
+    """Like `wait_until`, but counts only its own sleeps, so delays of the test machine do not use up the
+    time."""
     step = 0.02
     for _ in range(int(within / step)):
         if condition():
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -3,9 +3,9 @@
 import time
 
 import pytest
-from helpers import Town, until
+from helpers import RelayUnderTest, wait_until
 
-from courseroute.town.proxy import Copies, Proxy
+from courseroute.emulator.proxy import Copies, Proxy
 
 PAIRS = 4
 ANSWER_AFTER_S = 0.08
@@ -17,7 +17,7 @@
 @pytest.fixture
 def town(tmp_path):
     """One host, one call at a time: the next call is sent as soon as the previous one is answered."""
-    town = Town(tmp_path, slots=1, hosts=("h1",))
+    town = RelayUnderTest(tmp_path, slots=1, hosts=("h1",))
     yield town
     town.close()
 
@@ -41,13 +41,13 @@
     proxy.close()
 
 
-def hand_in_pairs(town, lane):
+def submit_pairs(town, lane):
     """Submits PAIRS pairs of messages, each b while the call of its a is under way."""
     for i in range(PAIRS):
-        assert town.hand_in(f"a{i}", lane) == 202
-        assert until(lambda i=i: town.sent(f"a{i}"))
-        assert town.hand_in(f"b{i}", lane) == 202
-        assert until(lambda i=i: town.sent(f"b{i}"))
+        assert town.submit(f"a{i}", lane) == 202
+        assert wait_until(lambda i=i: town.calls_for(f"a{i}"))
+        assert town.submit(f"b{i}", lane) == 202
+        assert wait_until(lambda i=i: town.calls_for(f"b{i}"))
         time.sleep(2 * ANSWER_AFTER_S)
 
 
@@ -56,14 +56,14 @@
 def test_a_late_duplicate_of_a_delivery_does_not_deliver_the_next_message(town, proxy, after_s):
     def plan(call):
         time.sleep(ANSWER_AFTER_S)
-        is_refused = call["id"].startswith("b") and len(town.sent(call["id"])) == 1
+        is_refused = call["id"].startswith("b") and len(town.calls_for(call["id"])) == 1
         return (503, {"Slots-Taken": "1"}) if is_refused else (200, {})
 
     town.plan, proxy.copies = plan, Copies(DELIVERED, after_s)
     town.start()
-    hand_in_pairs(town, "order")
+    submit_pairs(town, "order")
     refused = [f"b{i}" for i in range(PAIRS)]
-    assert until(lambda: all(len(town.sent(name)) == 2 for name in refused), 9)
+    assert wait_until(lambda: all(len(town.calls_for(name)) == 2 for name in refused), 9)
     assert proxy.copied >= PAIRS and not town.notices
 
 
@@ -71,22 +71,22 @@
 def test_a_duplicate_received_during_a_later_call_does_not_deliver_its_message(town, proxy):
     def plan(call):
         time.sleep(ANSWER_AFTER_S)
-        is_refused = call["id"].startswith("b") and len(town.sent(call["id"])) == 1
+        is_refused = call["id"].startswith("b") and len(town.calls_for(call["id"])) == 1
         return (503, {"Slots-Taken": "1"}) if is_refused else (200, {}, b"%016x" % call["n"])
 
     town.plan = plan
     town.start()
     for name in ("first", "second"):
-        assert town.hand_in(name, "order") == 202
-        assert until(lambda name=name: town.sent(name))
+        assert town.submit(name, "order") == 202
+        assert wait_until(lambda name=name: town.calls_for(name))
         time.sleep(3 * ANSWER_AFTER_S)
     proxy.copies = Copies(DELIVERED, None)
     for i in range(PAIRS):
         for name in (f"a{i}", f"b{i}"):
-            assert town.hand_in(name, "order") == 202
-            assert until(lambda name=name: town.sent(name))
+            assert town.submit(name, "order") == 202
+            assert wait_until(lambda name=name: town.calls_for(name))
             time.sleep(3 * ANSWER_AFTER_S)
-    assert until(lambda: all(len(town.sent(f"b{i}")) == 2 for i in range(PAIRS)), 9)
+    assert wait_until(lambda: all(len(town.calls_for(f"b{i}")) == 2 for i in range(PAIRS)), 9)
     assert proxy.copied >= PAIRS and not town.notices
     assert any(event["event"] == "answer came twice" for event in town.events())
 
@@ -96,15 +96,15 @@
 def test_a_late_duplicate_of_a_refusal_does_not_send_the_next_message_again(town, proxy, after_s):
     def plan(call):
         time.sleep(ANSWER_AFTER_S)
-        is_refused = call["id"].startswith("a") and len(town.sent(call["id"])) == 1
+        is_refused = call["id"].startswith("a") and len(town.calls_for(call["id"])) == 1
         return (504, {}) if is_refused else (200, {})
 
     town.plan, proxy.copies = plan, Copies(NOT_SENT, after_s)
     town.start()
-    hand_in_pairs(town, "once")
-    assert until(lambda: all(len(town.sent(f"a{i}")) == 2 for i in range(PAIRS)), 9)
+    submit_pairs(town, "once")
+    assert wait_until(lambda: all(len(town.calls_for(f"a{i}")) == 2 for i in range(PAIRS)), 9)
     time.sleep(2 * ANSWER_AFTER_S)
-    assert [len(town.sent(f"b{i}")) for i in range(PAIRS)] == [1] * PAIRS
+    assert [len(town.calls_for(f"b{i}")) for i in range(PAIRS)] == [1] * PAIRS
     assert proxy.copied >= PAIRS and not town.notices
 
 
@@ -113,13 +113,13 @@
     town.plan = lambda call: "drop"
     platform_proxy.copies = Copies(ACCEPTED, None)
     town.start()
-    assert town.hand_in("a", "once") == 202
-    assert until(lambda: [notice["id"] for notice in town.notices] == ["a"])
+    assert town.submit("a", "once") == 202
+    assert wait_until(lambda: [notice["id"] for notice in town.notices] == ["a"])
     # Until the quiet period is over, so that the next notice is sent on the same connection.
     time.sleep(2 * ANSWER_AFTER_S)
     town.platform_status = 503
-    assert town.hand_in("b", "once") == 202
-    assert until(lambda: platform_proxy.copied)
+    assert town.submit("b", "once") == 202
+    assert wait_until(lambda: platform_proxy.copied)
     time.sleep(ANSWER_AFTER_S)
     town.platform_status = None
-    assert until(lambda: [notice["id"] for notice in town.notices] == ["a", "b"])
+    assert wait_until(lambda: [notice["id"] for notice in town.notices] == ["a", "b"])
--- a/tests/test_decide.py
+++ b/tests/test_decide.py
@@ -2,7 +2,7 @@
 from collections import deque
 
 import pytest
-from helpers import MS, Relay, S, named
+from helpers import MS, DispatcherHarness, S, actions_named
 
 from courseroute.decide import EVIDENCE_THRESHOLD, EXIT_AFTER, HEADROOM_CUT
 from courseroute.decisions.final_answer import final_answer_due
@@ -12,9 +12,9 @@
 
 def refused_relay(**more):
     """A relay whose destination has just refused a first message, which is booked anew."""
-    relay = Relay(**more)
-    name, _ = relay.take()
-    relay.back(name, "full")
+    relay = DispatcherHarness(**more)
+    name, _ = relay.accept()
+    relay.report_outcome(name, "full")
     return relay
 
 
@@ -27,14 +27,14 @@
     (4.0, 300, 4.0, 0, 0.08),       # but where a report tells of the limit
 ])
 def test_budget_after_first_refusal(rate, relays, report, served, expected):
-    relay = Relay(hosts=[("a", rate)], relays=relays)
+    relay = DispatcherHarness(hosts=[("a", rate)], relays=relays)
     told = {"left": 0.5, "limit": report} if report else None
-    names = [relay.take()[0] for _ in range(served + 1)]
+    names = [relay.accept()[0] for _ in range(served + 1)]
     for name in names[:-1]:
-        relay.back(name, "delivered")
-    relay.back(names[-1], "full", report=told)
-    route = relay.relay.hosts["a"].route
-    assert relay.relay.send_budget(relay.now, route) == pytest.approx(expected)
+        relay.report_outcome(name, "delivered")
+    relay.report_outcome(names[-1], "full", report=told)
+    route = relay.dispatcher.hosts["a"].route
+    assert relay.dispatcher.send_budget(relay.now, route) == pytest.approx(expected)
 
 
 @pytest.mark.parametrize("clean, delivered, refusals, expected", [
@@ -43,7 +43,7 @@
 ])
 def test_headroom_grows_when_clean_and_is_cut_when_refused(clean, delivered, refusals, expected):
     relay = refused_relay(hosts=[("a", 10.0)])
-    route, d = relay.relay.hosts["a"].route, relay.relay
+    route, d = relay.dispatcher.hosts["a"].route, relay.dispatcher
     relay.now += clean * S
     for _ in range(delivered):
         route.recent_deliveries.add(relay.now)
@@ -55,22 +55,22 @@
 
 
 def test_nothing_binds_before_a_refusal_or_while_the_limit_reads_nought():
-    free = Relay(hosts=[("a", 1.0)])
-    assert sum(len(named(free.take()[1], "send")) for _ in range(4)) == 4
-    nought = Relay(hosts=[("a", None)])
-    name, _ = nought.take()
-    nought.back(name, "full", report={"left": 0, "limit": 0.0})
-    assert nought.relay.send_budget(nought.now, nought.relay.hosts["a"].route) is None
+    free = DispatcherHarness(hosts=[("a", 1.0)])
+    assert sum(len(actions_named(free.accept()[1], "send")) for _ in range(4)) == 4
+    nought = DispatcherHarness(hosts=[("a", None)])
+    name, _ = nought.accept()
+    nought.report_outcome(name, "full", report={"left": 0, "limit": 0.0})
+    assert nought.dispatcher.send_budget(nought.now, nought.dispatcher.hosts["a"].route) is None
 
 
 @pytest.mark.parametrize("rate, most", [(1.0, 11), (2.5, 26), (0.4, 6)])
 def test_budget_holds_over_time_and_order_is_fifo(rate, most):
     relay = refused_relay(hosts=[("a", rate)])
-    names = [relay.take()[0] for _ in range(60)]
+    names = [relay.accept()[0] for _ in range(60)]
     for _ in range(100):
         for act in relay.run(100 * MS, 50 * MS):
             if act[0] == "send":
-                relay.back(act[1], "delivered", n=int(act[1] == "m1"))
+                relay.report_outcome(act[1], "delivered", n=int(act[1] == "m1"))
     sent = [act[2] for act in relay.sends()[1:]]
     assert 1 < len(sent) <= most
     assert [name for name in sent if name in names] == names[:len(sent) - 1]
@@ -80,11 +80,11 @@
 def test_a_told_wait_is_kept_and_does_not_reset_the_count(waits):
     relay = refused_relay(hosts=[("a", 1.4)])
     for _ in range(20):
-        relay.take()
+        relay.accept()
     before = len(relay.sends())
     for _ in range(waits):
         end = relay.now + 600 * MS
-        relay.relay.handle_refusal(relay.now, relay.relay.hosts["a"].route, 600 * MS)
+        relay.dispatcher.handle_refusal(relay.now, relay.dispatcher.hosts["a"].route, 600 * MS)
         sent = len(relay.sends())
         relay.run(595 * MS)
         assert all(act[0] >= end for act in relay.sends()[sent:])
@@ -96,10 +96,10 @@
 def test_relays_take_places_apart_inside_a_second(number, offset):
     relay = refused_relay(hosts=[("a", 3.0)], relays=4, number=number)
     for _ in range(3):
-        relay.take()
+        relay.accept()
     for _ in range(200):
-        for act in named(relay.run(50 * MS), "send"):
-            relay.back(act[1], "delivered", n=int(act[1] == "m1"))
+        for act in actions_named(relay.run(50 * MS), "send"):
+            relay.report_outcome(act[1], "delivered", n=int(act[1] == "m1"))
     at = [act[0] % S // MS for act in relay.sends()[2:]]
     assert at and all(abs(ms - offset) <= 5 for ms in at)
 
@@ -118,11 +118,11 @@
     ("unknown", "error", 0, False, "fail"),         # an unknown lane counts as non-retriable
 ])
 def test_further_attempts_only_where_the_lane_allows(lane, ending, later, again, answer):
-    relay = Relay(hosts=[("a", 9.0), ("b", 9.0)])
-    name, actions = relay.take(lane)
+    relay = DispatcherHarness(hosts=[("a", 9.0), ("b", 9.0)])
+    name, actions = relay.accept(lane)
     relay.now += later
-    actions = relay.back(name, ending, host=actions[0][2]) + relay.run(4 * S)
-    assert bool(named(actions, "send")) == again
+    actions = relay.report_outcome(name, ending, host=actions[0][2]) + relay.run(4 * S)
+    assert bool(actions_named(actions, "send")) == again
     assert [act[0] for act in actions if act[0] in ("fail", "push back")] == ([answer] if answer else [])
 
 
@@ -134,37 +134,39 @@
     ("retriable", [(1, "error")] * 8, "push back"),
 ])
 def test_a_restored_message_continues_as_its_attempts_allow(lane, attempts, done):
-    relay = Relay()
+    relay = DispatcherHarness()
     attempts = [("long gone", relay.now - ago * S, ending) for ago, ending in attempts]
-    actions = relay.tell("accept", "old", "d", lane, relay.now + 6 * S, None, None, False, attempts)
+    actions = relay.apply("accept", "old", "d", lane, relay.now + 6 * S, None, None, False, attempts)
     assert [act[0] for act in actions] == ([done] if done else [])
     ends = [act[0] for act in actions + relay.run(7 * S) if act[0] in ("fail", "push back")]
     assert len(ends) == 1
 
 
 def test_a_key_rests_after_a_restart_and_its_messages_keep_their_order():
-    relay = Relay()
+    relay = DispatcherHarness()
     for name, attempts in (("m1", [("a", relay.now, None)]), ("m2", [])):
-        assert not relay.tell("accept", name, "d", "ordered", relay.now + 9 * S, "k", None, False, attempts)
+        assert not relay.apply("accept", name, "d", "ordered", relay.now + 9 * S, "k", None, False, attempts)
     assert not relay.run(S - 10 * MS)
-    assert [act[1] for act in named(relay.run(20 * MS), "send")] == ["m1"]
-    relay.back("m1", "delivered", n=1)
+    assert [act[1] for act in actions_named(relay.run(20 * MS), "send")] == ["m1"]
+    relay.report_outcome("m1", "delivered", n=1)
     assert [act[2] for act in relay.sends()] == ["m1", "m2"]
 
 
 def test_told_to_stop_it_gives_back_what_it_cannot_send_and_keeps_what_may_have_run():
-    relay = Relay(hosts=[("a", None)], slots=4)
+    relay = DispatcherHarness(hosts=[("a", None)], slots=4)
     for lane in ("retriable", "zoned", "retriable", "once"):
-        relay.take(lane)
-    relay.back("m2", "error")
-    relay.back("m1", "full", wait=3 * S)
-    relay.back("m2", "error", n=1)
-    given = [act[1] for act in named(relay.tell("stop"), "push back")]
+        relay.accept(lane)
+    relay.report_outcome("m2", "error")
+    relay.report_outcome("m1", "full", wait=3 * S)
+    relay.report_outcome("m2", "error", n=1)
+    given = [act[1] for act in actions_named(relay.apply("stop"), "push back")]
     actions = relay.run(EXIT_AFTER)
-    given += [act[1] for act in named(actions, "push back")]
-    assert sorted(given) == ["m1", "m4"] and not named(actions, "send") and actions[-1] == ("exit",)
-    assert not named(actions, "fail")      # m2's attempts may have run and m3 is out: they stay in the log
-    late, actions = relay.take()
+    given += [act[1] for act in actions_named(actions, "push back")]
+    assert sorted(given) == ["m1", "m4"] and not actions_named(actions, "send") and actions[-1] == ("exit",)
+    assert not actions_named(
+        actions, "fail"
+    )  # m2's attempts may have run and m3 is out: they stay in the log
+    late, actions = relay.accept()
     assert [act[:2] for act in actions] == [("push back", late)]
 
 
@@ -173,12 +175,12 @@
     ("attempt_ended", ("m2", 0, "a", "full", 0, S, None, False), False), ("withdraw", ("m1",), False),
 ])
 def test_a_call_whose_connection_came_up_late_leaves_only_if_it_still_may(what, told, may):
-    relay = Relay()
-    relay.take()
-    relay.take()
+    relay = DispatcherHarness()
+    relay.accept()
+    relay.accept()
     if what:
-        relay.tell(what, *told)
-    assert (relay.relay.hold_cause(relay.now, "m1", 0) is None) == may
+        relay.apply(what, *told)
+    assert (relay.dispatcher.hold_cause(relay.now, "m1", 0) is None) == may
 
 
 # Guards against a keyed request being sent again outside its window because its connection came up late.
@@ -188,45 +190,45 @@
     ("keyed", "broken", 4 * S, None), ("zoned", "reset", 4 * S, HoldCause.WINDOW_CLOSED),
     ("retriable", "reset", 4 * S, None), ("once", "broken", 4 * S, None)])
 def test_a_repeat_whose_connection_comes_up_behind_its_window_does_not_leave(lane, before, late, held):
-    relay = Relay()
-    name, _ = relay.take(lane, key="k")
+    relay = DispatcherHarness()
+    name, _ = relay.accept(lane, key="k")
     begun = relay.now
-    assert named(relay.back(name, before), "send")
-    assert relay.relay.hold_cause(begun + late, name, 1) == held
-    send_by = relay.relay.send_by(name, 1)
+    assert actions_named(relay.report_outcome(name, before), "send")
+    assert relay.dispatcher.hold_cause(begun + late, name, 1) == held
+    send_by = relay.dispatcher.send_by(name, 1)
     bound = before == "reset" and lane in ("keyed", "zoned")
     assert send_by is not None and send_by <= begun + 4 * S - 150 * MS if bound else send_by is None
 
 
 def test_a_window_that_closes_while_a_message_waits_ends_it():
-    relay = Relay()
-    name, _ = relay.take("keyed")
-    relay.back(name, "timeout")
-    relay.relay.hosts["a"].not_before = relay.now + 6 * S    # nothing can be sent until the window is over
+    relay = DispatcherHarness()
+    name, _ = relay.accept("keyed")
+    relay.report_outcome(name, "timeout")
+    relay.dispatcher.hosts["a"].not_before = relay.now + 6 * S  # nothing can be sent until the window is over
     actions = relay.run(8 * S)
-    assert [act[0] for act in actions if act[0] != "send"] == ["fail"] or not named(actions, "send")
+    assert [act[0] for act in actions if act[0] != "send"] == ["fail"] or not actions_named(actions, "send")
 
 
 def test_keyed_by_zone_stays_in_its_zone():
-    relay = Relay(hosts=[("a", 9.0)])
-    relay.tell("update_endpoints", "changes", [("b", "ready", "other", 9.0, "plain", "d")])
-    name, actions = relay.take("zoned")
+    relay = DispatcherHarness(hosts=[("a", 9.0)])
+    relay.apply("update_endpoints", "changes", [("b", "ready", "other", 9.0, "plain", "d")])
+    name, actions = relay.accept("zoned")
     first = actions[0][2]
-    actions = relay.back(name, "error", host=first) + relay.run(3 * S)
-    assert {act[2] for act in named(actions, "send")} <= {first}
+    actions = relay.report_outcome(name, "error", host=first) + relay.run(3 * S)
+    assert {act[2] for act in actions_named(actions, "send")} <= {first}
 
 
 @pytest.mark.parametrize("lane", ["retriable", "keyed", "once", "unknown"])
 @pytest.mark.parametrize("ending", ["timeout", "full", "unreachable", "error", None])
 def test_exactly_one_answer_in_time_and_nothing_after(lane, ending):
-    relay = Relay()
-    name, _ = relay.take(lane, left=6 * S)
+    relay = DispatcherHarness()
+    name, _ = relay.accept(lane, left=6 * S)
     deadline, out, ended = relay.now + 6 * S, [(0, "a")], []
     for _ in range(800):
         relay.now += 10 * MS
-        actions = relay.tell("wake")
+        actions = relay.apply("wake")
         if ending and out:
-            actions += relay.back(name, ending, *out.pop(0))
+            actions += relay.report_outcome(name, ending, *out.pop(0))
         for act in actions:
             assert not (ended and act[0] == "send")
             if act[0] == "send":
@@ -238,33 +240,35 @@
 
 @pytest.mark.parametrize("state", ["draining", "gone"])
 def test_drained_hosts_get_nothing_new_and_booked_messages_move(state):
-    relay = Relay(hosts=[("a", 2.0), ("b", 2.0)], kind="apart")
+    relay = DispatcherHarness(hosts=[("a", 2.0), ("b", 2.0)], kind="apart")
     for host in "ab":
-        relay.relay.handle_refusal(relay.now, relay.relay.hosts[host].route, 500 * MS)
+        relay.dispatcher.handle_refusal(relay.now, relay.dispatcher.hosts[host].route, 500 * MS)
     for _ in range(6):
-        relay.take()
-    relay.tell("update_endpoints", "changes", [("a", state, "z", 2.0, "apart", "d")])
+        relay.accept()
+    relay.apply("update_endpoints", "changes", [("a", state, "z", 2.0, "apart", "d")])
     sent = len(relay.sends())
     relay.run(6 * S)
     assert {act[3] for act in relay.sends()[sent:]} == {"b"}
 
 
 def test_a_list_that_lost_a_host_strands_messages_until_one_comes():
-    relay = Relay()
-    relay.tell("update_endpoints", "full", [])
-    _, actions = relay.take()
+    relay = DispatcherHarness()
+    relay.apply("update_endpoints", "full", [])
+    _, actions = relay.accept()
     assert not actions
-    assert named(relay.tell("update_endpoints", "changes", [("c", "ready", "z", 4.0, "plain", "d")]), "send")
+    assert actions_named(
+        relay.apply("update_endpoints", "changes", [("c", "ready", "z", 4.0, "plain", "d")]), "send"
+    )
 
 
 def test_ejected_host_gets_one_probe_and_then_a_slow_start():
-    relay = Relay(hosts=[("a", 4.0)])
-    for name in [relay.take()[0] for _ in range(3)]:
-        relay.back(name, "unreachable")
-    host = relay.relay.hosts["a"]
+    relay = DispatcherHarness(hosts=[("a", 4.0)])
+    for name in [relay.accept()[0] for _ in range(3)]:
+        relay.report_outcome(name, "unreachable")
+    host = relay.dispatcher.hosts["a"]
     assert host.evidence >= EVIDENCE_THRESHOLD and host.not_before > relay.now and host.probing
     for _ in range(20):
-        relay.take()
+        relay.accept()
     sent = len(relay.sends())
     relay.run(host.not_before - relay.now - 10 * MS)
     assert len(relay.sends()) == sent
@@ -273,44 +277,46 @@
     assert len(trials) == 1
     host.outage_length = 5 * S        # as after an outage of some length
     n = sum(act[2] == trials[0][2] for act in relay.sends()) - 1
-    actions, sent = relay.back(trials[0][2], "delivered", n=n), len(relay.sends()) - 1
+    actions, sent = relay.report_outcome(trials[0][2], "delivered", n=n), len(relay.sends()) - 1
     for _ in range(60):
-        for act in named(actions, "send"):
-            relay.back(act[1], "delivered", n=sum(a[2] == act[1] for a in relay.sends()) - 1)
+        for act in actions_named(actions, "send"):
+            relay.report_outcome(act[1], "delivered", n=sum(a[2] == act[1] for a in relay.sends()) - 1)
         actions = relay.run(50 * MS)
     assert 1 <= len(relay.sends()) - sent <= 4 * 3 * 2 * 0.5    # the rule's multiple of a cold share, no more
 
 
 @pytest.mark.parametrize("relays, rate, most", [(3, 4.0, 14), (60, 25.0, 7), (300, 4.0, 3), (300, 110.0, 7)])
 def test_tries_of_a_host_that_is_out_grow_rare_with_relays_and_with_time(relays, rate, most):
-    relay = Relay(hosts=[("a", rate)], relays=relays)
-    actions = [act for _ in range(4) for act in relay.take(left=60 * S)[1]]
+    relay = DispatcherHarness(hosts=[("a", rate)], relays=relays)
+    actions = [act for _ in range(4) for act in relay.accept(left=60 * S)[1]]
     for _ in range(400):
-        for act in named(actions, "send"):
-            relay.back(act[1], "unreachable", n=sum(a[2] == act[1] for a in relay.sends()) - 1)
+        for act in actions_named(actions, "send"):
+            relay.report_outcome(act[1], "unreachable", n=sum(a[2] == act[1] for a in relay.sends()) - 1)
         actions = relay.run(50 * MS, 25 * MS)
     assert 1 <= len(relay.sends()) - 4 <= most
 
 
 @pytest.mark.parametrize("first, climbs", [(1 * S, False), (5 * S, True)])
 def test_only_failures_over_some_time_are_followed_by_a_climb(first, climbs):
-    relay = Relay()
-    name, _ = relay.take()
+    relay = DispatcherHarness()
+    name, _ = relay.accept()
     relay.now += 100 * MS
-    relay.back(name, "unreachable")
-    host = relay.relay.hosts["a"]
+    relay.report_outcome(name, "unreachable")
+    host = relay.dispatcher.hosts["a"]
     host.outage_length, host.not_before = first, relay.now
     actions = relay.run(2 * S)
-    relay.back(name, "delivered", n=1)
-    assert named(actions, "send") and not host.probing and (host.slow_start_since is not None) == climbs
+    relay.report_outcome(name, "delivered", n=1)
+    assert (
+        actions_named(actions, "send") and not host.probing and (host.slow_start_since is not None) == climbs
+    )
 
 
 @pytest.mark.parametrize("delivered, reported, step, aside", [
     (False, None, 1100, True), (True, None, 1100, False), (False, 0.0, 200, True), (True, 0.0, 200, False),
 ])
 def test_only_a_host_that_refuses_everything_is_ejected(delivered, reported, step, aside):
-    relay = Relay()
-    d, host = relay.relay, relay.relay.hosts["a"]
+    relay = DispatcherHarness()
+    d, host = relay.dispatcher, relay.dispatcher.hosts["a"]
     host.route.reported_limit = reported
     for _ in range(12):
         relay.now += step * MS
@@ -323,37 +329,37 @@
 
 @pytest.mark.parametrize("ending, closes", [("unreachable", True), ("timeout", True), ("full", False)])
 def test_connections_are_not_kept_where_calls_get_lost(ending, closes):
-    relay, actions = Relay(slots=20), []
-    for name in [relay.take()[0] for _ in range(4)]:
-        actions += relay.back(name, ending, over=True)
-    assert bool(named(actions, "close")) == closes
+    relay, actions = DispatcherHarness(slots=20), []
+    for name in [relay.accept()[0] for _ in range(4)]:
+        actions += relay.report_outcome(name, ending, over=True)
+    assert bool(actions_named(actions, "close")) == closes
 
 
 def test_a_hanging_destination_keeps_slots_for_the_others():
-    relay = Relay(slots=8)
-    relay.tell("update_endpoints", "changes", [("o", "ready", "z", 4.0, "plain", "other")])
+    relay = DispatcherHarness(slots=8)
+    relay.apply("update_endpoints", "changes", [("o", "ready", "z", 4.0, "plain", "other")])
     for _ in range(20):
-        relay.take()
-    assert relay.relay.active_calls <= 4
-    assert named(relay.take(dst="other")[1], "send")
+        relay.accept()
+    assert relay.dispatcher.active_calls <= 4
+    assert actions_named(relay.accept(dst="other")[1], "send")
 
 
 def test_a_quiet_host_gets_nothing_more():
-    relay = Relay()
-    relay.take()
+    relay = DispatcherHarness()
+    relay.accept()
     relay.run(1 * S)
-    assert not named(relay.take()[1], "send")
+    assert not actions_named(relay.accept()[1], "send")
 
 
 @pytest.mark.parametrize("ending, rest", [("delivered", 0), ("full", 0), ("timeout", S), ("stale", S)])
 def test_order_by_key(ending, rest):
-    relay = Relay()
-    first, _ = relay.take("ordered", "k")
-    second, actions = relay.take("ordered", "k")
-    other, more = relay.take("ordered", "j")
-    assert not actions and named(more, "send")
-    relay.back(other, "delivered")
-    relay.back(first, ending, over=True)
+    relay = DispatcherHarness()
+    first, _ = relay.accept("ordered", "k")
+    second, actions = relay.accept("ordered", "k")
+    other, more = relay.accept("ordered", "j")
+    assert not actions and actions_named(more, "send")
+    relay.report_outcome(other, "delivered")
+    relay.report_outcome(first, ending, over=True)
     start = relay.now
     relay.run(3 * S)
     at = [act[0] for act in relay.sends() if act[2] == second]
@@ -363,101 +369,101 @@
 def test_one_call_carries_what_leaves_together():
     relay = refused_relay(hosts=[("a", 1.0)], kind="apart")
     for _ in range(9):
-        relay.take()
+        relay.accept()
     relay.run(2 * S)
     times = [act[0] for act in relay.sends()]
     per_batch = [times.count(at) for at in sorted(set(times))]
-    assert max(per_batch) == 5 and relay.relay.active_calls <= len(per_batch)
+    assert max(per_batch) == 5 and relay.dispatcher.active_calls <= len(per_batch)
 
 
 def test_one_destination_cannot_take_the_whole_room():
     relay = refused_relay(room=10, hosts=[("a", 1.0)])
-    actions = [act for _ in range(15) for act in relay.take()[1]]
-    assert len(named(actions, "push back")) == 15 - 4
-    relay.tell("update_endpoints", "changes", [("o", "ready", "z", 4.0, "plain", "other")])
-    assert named(relay.take(dst="other")[1], "send")
+    actions = [act for _ in range(15) for act in relay.accept()[1]]
+    assert len(actions_named(actions, "push back")) == 15 - 4
+    relay.apply("update_endpoints", "changes", [("o", "ready", "z", 4.0, "plain", "other")])
+    assert actions_named(relay.accept(dst="other")[1], "send")
 
 
 @pytest.mark.parametrize("left", [50 * MS, 0, -S])
 def test_too_late_on_arrival_is_answered_at_once(left):
-    relay = Relay()
-    assert [act[0] for act in relay.take(left=left)[1]] == ["push back"]
+    relay = DispatcherHarness()
+    assert [act[0] for act in relay.accept(left=left)[1]] == ["push back"]
 
 
 @pytest.mark.parametrize("failures", [1, 3, 12])
 def test_a_failed_watch_is_renewed_and_never_multiplies(failures):
-    relay = Relay(ask=True, ask_within=10 * S)
+    relay = DispatcherHarness(ask=True, ask_within=10 * S)
     asked = []
     for _ in range(failures):
-        relay.tell("update_endpoints", "failed", [])
-        asked = named(relay.run(4 * S, 50 * MS), "watch")
+        relay.apply("update_endpoints", "failed", [])
+        asked = actions_named(relay.run(4 * S, 50 * MS), "watch")
         assert 1 <= len(asked) <= 4
 
 
 def test_a_message_withdrawn_or_unknown_is_harmless():
-    relay = Relay()
-    name, _ = relay.take()
-    relay.tell("withdraw", name)
-    relay.tell("withdraw", "never")
-    assert not named(relay.back(name, "timeout"), "send")
-    assert not relay.back("never", "delivered")
-    assert not relay.relay.open_messages and not relay.relay.active_calls
+    relay = DispatcherHarness()
+    name, _ = relay.accept()
+    relay.apply("withdraw", name)
+    relay.apply("withdraw", "never")
+    assert not actions_named(relay.report_outcome(name, "timeout"), "send")
+    assert not relay.report_outcome("never", "delivered")
+    assert not relay.dispatcher.open_messages and not relay.dispatcher.active_calls
 
 
 @pytest.mark.parametrize("took", [100 * MS, 900 * MS, 9 * S])
 def test_no_time_out_outgrows_its_bound(took):
-    relay = Relay()
+    relay = DispatcherHarness()
     for _ in range(30):
-        name, actions = relay.take()
-        relay.back(name, "delivered", took=took)
-    _, actions = relay.take()
-    assert 1500 * MS <= named(actions, "send")[0][3] - relay.now <= 3 * S
-    relay.relay.lost_share["plain"] = 0.2     # where calls get lost it is halved
-    assert 750 * MS <= named(relay.take()[1], "send")[0][3] - relay.now <= 1500 * MS
+        name, actions = relay.accept()
+        relay.report_outcome(name, "delivered", took=took)
+    _, actions = relay.accept()
+    assert 1500 * MS <= actions_named(actions, "send")[0][3] - relay.now <= 3 * S
+    relay.dispatcher.lost_share["plain"] = 0.2     # where calls get lost it is halved
+    assert 750 * MS <= actions_named(relay.accept()[1], "send")[0][3] - relay.now <= 1500 * MS
 
 
 def test_cuts_leave_one_send_a_second_to_all_relays_together():
     relay = refused_relay(hosts=[("a", 6.0)], relays=12)
     for _ in range(20):
         relay.now += S
-        relay.relay.handle_refusal(relay.now, relay.relay.hosts["a"].route, 0)
-    assert relay.relay.send_budget(relay.now, relay.relay.hosts["a"].route) == pytest.approx(1 / 12)
+        relay.dispatcher.handle_refusal(relay.now, relay.dispatcher.hosts["a"].route, 0)
+    assert relay.dispatcher.send_budget(relay.now, relay.dispatcher.hosts["a"].route) == pytest.approx(1 / 12)
 
 
 def test_beyond_its_share_a_customers_messages_do_not_wait_long():
     relay = refused_relay(hosts=[("a", 2.0)], customers={"c": 2.0, "d": 2.0})
     actions = []
     for n in range(14):
-        actions += relay.tell("accept", f"c{n}", "d", "retriable", relay.now + 16 * S, None, "c", False)
-    assert {act[1] for act in named(actions, "push back")} == {"c12", "c13"}
-    assert not relay.tell("accept", "d0", "d", "retriable", relay.now + 16 * S, None, "d", False)
+        actions += relay.apply("accept", f"c{n}", "d", "retriable", relay.now + 16 * S, None, "c", False)
+    assert {act[1] for act in actions_named(actions, "push back")} == {"c12", "c13"}
+    assert not relay.apply("accept", "d0", "d", "retriable", relay.now + 16 * S, None, "d", False)
 
 
 @pytest.mark.parametrize("own, first", [("z", "a"), ("y", "b")])
 def test_unmeasured_hosts_stand_by_what_their_area_has_shown(own, first):
-    relay = Relay(hosts=[], area=own)
+    relay = DispatcherHarness(hosts=[], area=own)
     entries = [(n, "ready", n == "b" and "y" or "z", 9.0, "apart", "d") for n in "ab"]
     entries += [("c", "ready", "z", 9.0, "plain", "c"), ("e", "ready", "y", 9.0, "plain", "e")]
-    relay.tell("update_endpoints", "full", entries)
+    relay.apply("update_endpoints", "full", entries)
     for host, took in (("c", 200 * MS), ("e", 400 * MS)):
-        relay.back(relay.take(dst=host)[0], "delivered", host=host, took=took)
-    relay.relay.to_rank["d"] = relay.relay.destinations["d"]
+        relay.report_outcome(relay.accept(dst=host)[0], "delivered", host=host, took=took)
+    relay.dispatcher.to_rank["d"] = relay.dispatcher.destinations["d"]
     relay.run(1100 * MS)
-    assert named(relay.take()[1], "send")[0][2] == first
+    assert actions_named(relay.accept()[1], "send")[0][2] == first
 
 
 def test_bookings_of_withdrawn_messages_are_free_again_for_those_behind_them():
     """Otherwise each message of a client that gave up would use a slot, and later ones would expire."""
     relay = refused_relay()
     relay.run(2 * S)
-    relay.back("m1", "delivered", n=1)
-    names = [relay.take()[0] for _ in range(20)]
+    relay.report_outcome("m1", "delivered", n=1)
+    names = [relay.accept()[0] for _ in range(20)]
     dead, seen = set(names[:15]), 2
     for _ in range(300):
         relay.run(5 * MS)
         fresh, seen = relay.sends()[seen:], len(relay.sends())
         for _, _, name, *_ in fresh:
-            relay.back(name, "unsent" if name in dead else "delivered", over=True, took=5 * MS)
+            relay.report_outcome(name, "unsent" if name in dead else "delivered", over=True, took=5 * MS)
     alive = [act[0] for act in relay.sends() if act[2] in names and act[2] not in dead]
     assert len(alive) == 5 and alive[-1] - alive[0] > 900 * MS      # the living keep the pace of the limit
 
@@ -477,79 +483,84 @@
 @pytest.mark.parametrize("kind, scope", [("plain", "changes"), ("plain", "full"), ("apart", "changes")])
 def test_all_kept_of_what_is_gone_ends_with_it(kind, scope):
     """Ids, keys, hosts, customers and destinations always new, for long; others stand still."""
-    relay, sizes = Relay(kind=kind), []
+    relay, sizes = DispatcherHarness(kind=kind), []
     for i in range(240):
         dst = "d" if i % 3 else f"d{i}"
         old = [(f"h{i - 2}", "gone", "z", None, kind, "d" if (i - 2) % 3 else f"d{i - 2}")]
         now = [(f"h{j}", "ready", "z", None, kind, "d" if j % 3 else f"d{j}") for j in (i - 1, i)]
-        relay.tell("update_endpoints", scope, now if scope == "full" else old + now)
+        relay.apply("update_endpoints", scope, now if scope == "full" else old + now)
         for n, ending in enumerate(("delivered", "full", "reset", "delivered")):
-            message, actions = relay.take("ordered", key=f"k{i}-{n}", dst=dst)
-            for act in named(actions, "send"):
-                relay.back(message, ending, host=act[2])
-        relay.take(dst=f"nowhere{i}")
+            message, actions = relay.accept("ordered", key=f"k{i}-{n}", dst=dst)
+            for act in actions_named(actions, "send"):
+                relay.report_outcome(message, ending, host=act[2])
+        relay.accept(dst=f"nowhere{i}")
         relay.run(S, 100 * MS)
-        for (message, n), attempt in list(relay.relay.attempts.items()):
-            relay.back(message, "delivered", n=n, host=attempt.host.name)
+        for (message, n), attempt in list(relay.dispatcher.attempts.items()):
+            relay.report_outcome(message, "delivered", n=n, host=attempt.host.name)
         if i % 80 == 79:
             relay.run(20 * S, 100 * MS)
-            sizes.append(held(list(vars(relay.relay).values())))
-    assert sizes[2] <= sizes[1] * 1.1 and len(relay.relay.hosts) < 90
+            sizes.append(held(list(vars(relay.dispatcher).values())))
+    assert sizes[2] <= sizes[1] * 1.1 and len(relay.dispatcher.hosts) < 90
 
 
 def test_an_ordered_message_that_is_not_admitted_takes_no_turn_from_its_key():
-    relay = Relay()
-    assert named(relay.take("ordered", key="k", left=1)[1], "push back") and not relay.relay.key_queues
-    name, actions = relay.take("ordered", key="k")
-    assert named(actions, "send") and named(relay.take("ordered", key="k", left=1)[1], "push back")
-    assert list(relay.relay.key_queues["k"].queue) == [relay.relay.open_messages[name]]
+    relay = DispatcherHarness()
+    assert (
+        actions_named(relay.accept("ordered", key="k", left=1)[1], "push back")
+        and not relay.dispatcher.key_queues
+    )
+    name, actions = relay.accept("ordered", key="k")
+    assert actions_named(actions, "send") and actions_named(
+        relay.accept("ordered", key="k", left=1)[1], "push back"
+    )
+    assert list(relay.dispatcher.key_queues["k"].queue) == [relay.dispatcher.open_messages[name]]
 
 
 @pytest.mark.parametrize("ending, wait, calls", [("full", 0, (1, 5)), ("full", 2 * S, (0, 0)),
                                                  ("unreachable", 0, (0, 1))])
 def test_a_restarted_relay_sends_no_burst_to_a_known_host(ending, wait, calls):
     """A restarted relay holds a backlog; without the budget, the wait, the outage it would all go at once."""
-    last = Relay(hosts=[("a", None)])
-    name, _ = last.take()
-    last.back(name, ending, wait=wait, report={"left": 0.0, "limit": 4.0})
-    told = json.loads(json.dumps(last.relay.learned_state(last.now)))
-    fresh = Relay(hosts=[("a", None), ("b", None)], slots=40)
+    last = DispatcherHarness(hosts=[("a", None)])
+    name, _ = last.accept()
+    last.report_outcome(name, ending, wait=wait, report={"left": 0.0, "limit": 4.0})
+    told = json.loads(json.dumps(last.dispatcher.learned_state(last.now)))
+    fresh = DispatcherHarness(hosts=[("a", None), ("b", None)], slots=40)
     fresh.now = last.now + S // 2
-    fresh.tell("update_endpoints", "saved", [("a", "ready", "z", None, "plain", "d"),
+    fresh.apply("update_endpoints", "saved", [("a", "ready", "z", None, "plain", "d"),
                                    ("b", "gone", "z", None, "plain", "d")])
-    fresh.tell("restore_learned_state", told, fresh.now)
+    fresh.apply("restore_learned_state", told, fresh.now)
     for _ in range(20):
-        fresh.take()
+        fresh.accept()
     fresh.run(S)
     assert calls[0] <= len(fresh.sends()) <= calls[1]
-    assert not last.relay.restore_learned_state(last.now, [["left long ago", [], []]], 5)
-    assert not Relay().relay.learned_state(last.now)
+    assert not last.dispatcher.restore_learned_state(last.now, [["left long ago", [], []]], 5)
+    assert not DispatcherHarness().dispatcher.learned_state(last.now)
 
 
 @pytest.mark.parametrize("ending, many, aside", [
     ("stale", 20, False), ("broken", 4, False), ("broken", 5, True), ("unreachable", 1, True)])
 def test_a_connection_that_broke_is_weaker_evidence_than_one_that_never_came_up(ending, many, aside):
-    relay = Relay(slots=100, room=100)
-    names = [relay.take()[0] for _ in range(many)]
+    relay = DispatcherHarness(slots=100, room=100)
+    names = [relay.accept()[0] for _ in range(many)]
     for name in names:
-        relay.back(name, ending)
-    assert relay.relay.hosts["a"].probing == aside
+        relay.report_outcome(name, ending)
+    assert relay.dispatcher.hosts["a"].probing == aside
 
 
 def test_connections_are_used_no_longer_than_they_last_and_are_trusted_again():
     """Something drops connections that stand idle for 100 ms; one call in 13 is lost whatever it uses."""
-    relay, tried = Relay(slots=100, room=100), []
+    relay, tried = DispatcherHarness(slots=100, room=100), []
     ages = [5 * MS, 50 * MS, 200 * MS, 600 * MS]
 
     def calls(many, lasts):
         tried.clear()
         for i in range(many):
-            idle = ages[i % 4] if ages[i % 4] < relay.relay.max_idle_time(relay.now) else None
+            idle = ages[i % 4] if ages[i % 4] < relay.dispatcher.max_idle_time(relay.now) else None
             tried.append(idle)
-            name, _ = relay.take()
+            name, _ = relay.accept()
             told = "stale" if idle and idle > lasts else "reset" if i % 13 == 0 else "delivered"
-            relay.tell("attempt_ended", name, 0, "a", told, 50 * MS, 0, None, True, idle)
-        return relay.relay.max_idle_time(relay.now)
+            relay.apply("attempt_ended", name, 0, "a", told, 50 * MS, 0, None, True, idle)
+        return relay.dispatcher.max_idle_time(relay.now)
     assert calls(400, S) > 10 * S and None not in tried
     calls(1000, 100 * MS)
     assert 40 > sum(idle is not None and idle > 100 * MS for idle in tried)
@@ -560,33 +571,33 @@
 def test_rebooking_a_backlog_leaves_nothing_behind():
     relay = refused_relay(room=200)
     for _ in range(60):
-        relay.take()
-    before = len(relay.relay.events)
+        relay.accept()
+    before = len(relay.dispatcher.events)
     for _ in range(200):
-        relay.relay.rebook(relay.now, relay.relay.hosts["a"].route, True)
-    assert len(relay.relay.events) <= before + 200
+        relay.dispatcher.rebook(relay.now, relay.dispatcher.hosts["a"].route, True)
+    assert len(relay.dispatcher.events) <= before + 200
 
 
 def test_a_destination_without_told_limits_returns_at_a_part_of_the_pace_it_had():
     """Otherwise it returns at an assumed rate of a third of a send a second, whatever it served before."""
-    relay = Relay(hosts=(("a", None),), relays=3)
+    relay = DispatcherHarness(hosts=(("a", None),), relays=3)
     for _ in range(48):
-        name, _ = relay.take()
-        relay.back(name, "delivered")
+        name, _ = relay.accept()
+        relay.report_outcome(name, "delivered")
         relay.run(250 * MS)
     tries, end = 0, relay.now + 8 * S
     while relay.now < end:
-        name, actions = relay.take()
-        for act in [*named(actions, "send"), *named(relay.run(500 * MS, 50 * MS), "send")]:
-            relay.back(act[1], "unreachable")
+        name, actions = relay.accept()
+        for act in [*actions_named(actions, "send"), *actions_named(relay.run(500 * MS, 50 * MS), "send")]:
+            relay.report_outcome(act[1], "unreachable")
             tries += 1
     assert tries >= 4
     sent, returned = 0, False
     for _ in range(80):
-        relay.take()
-        for act in named(relay.run(100 * MS, 20 * MS), "send"):
-            n = max(n for name, n in relay.relay.attempts if name == act[1])
-            relay.back(act[1], "delivered", n)
+        relay.accept()
+        for act in actions_named(relay.run(100 * MS, 20 * MS), "send"):
+            n = max(n for name, n in relay.dispatcher.attempts if name == act[1])
+            relay.report_outcome(act[1], "delivered", n)
             sent, returned = sent + returned, True
     assert 5 <= sent <= 8 * 4 * 2       # never more than the rule's multiple of what it took
 
@@ -594,19 +605,19 @@
 def test_a_silence_is_counted_from_when_the_first_lost_call_left():
     """Its time-out comes seconds later; counted from there, an outage of 4 s looked like one of 2 and the
     destination was sent its whole backlog at once."""
-    relay = Relay(hosts=(("a", 4.0),), relays=2)
-    relay.back(relay.take()[0], "delivered")
+    relay = DispatcherHarness(hosts=(("a", 4.0),), relays=2)
+    relay.report_outcome(relay.accept()[0], "delivered")
     begun = relay.now
     for _ in range(6):
-        relay.take()
+        relay.accept()
     while relay.now < begun + 7 * S:        # silent for 4 s, each call's time-out 1.5 s after it left
         relay.run(20 * MS)
-        for (name, n), attempt in list(relay.relay.attempts.items()):
+        for (name, n), attempt in list(relay.dispatcher.attempts.items()):
             if relay.now >= attempt.started_at + 1500 * MS and attempt.started_at < begun + 4 * S:
-                relay.back(name, "timeout", n)
+                relay.report_outcome(name, "timeout", n)
             elif attempt.started_at >= begun + 4 * S:
-                relay.back(name, "delivered", n)
-    host, = relay.relay.hosts.values()
+                relay.report_outcome(name, "delivered", n)
+    host, = relay.dispatcher.hosts.values()
     assert not host.probing and host.outage_length > 3 * S and host.slow_start_since is not None
 
 
@@ -614,13 +625,13 @@
     (0, 0.5, True, True), (6 * S, 0.55, True, True), (30 * S, 0.75, True, True), (60 * S, 1.0, False, False),
     (86_400 * S, 1.0, False, False)])
 def test_what_was_learned_ages_but_a_wait_holds_to_its_end(age, headroom, bound, aside):
-    relay = Relay()
-    route, wait = relay.relay.hosts["a"].route, relay.now + 2 * S
+    relay = DispatcherHarness()
+    route, wait = relay.dispatcher.hosts["a"].route, relay.now + 2 * S
     told = [["a", [0.0, None, 5 * S, relay.now, relay.now + S, True, relay.now],
              [0.5, 3.0, None, relay.now, relay.now, relay.now, False, wait, 2.0]]]
-    relay.tell("restore_learned_state", told, relay.now - age)
+    relay.apply("restore_learned_state", told, relay.now - age)
     assert route.headroom == pytest.approx(headroom) and route.wait_until == wait
-    assert (route.refused_at is not None, relay.relay.hosts["a"].probing) == (bound, aside)
+    assert (route.refused_at is not None, relay.dispatcher.hosts["a"].probing) == (bound, aside)
 
 
 # Guards against a message taken on with so little time left that its final answer can't come in time.
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -5,7 +5,7 @@
 import time
 
 import pytest
-from helpers import Town, until
+from helpers import RelayUnderTest, wait_until
 
 KNOWN_WITHIN_S = 6.0  # a change of the list counts as known to the relay after this, whatever call failed
 # Time in which a draining endpoint may get requests (tests/helpers.py), with the protocol's tolerance.
@@ -15,7 +15,7 @@
 
 @pytest.fixture
 def town(tmp_path):
-    town = Town(tmp_path)
+    town = RelayUnderTest(tmp_path)
     yield town
     town.close()
 
@@ -25,13 +25,13 @@
     """`traffic()` starts to submit messages at a fixed interval; their final states are not checked."""
     ended = threading.Event()
 
-    def hand_in():
+    def submit():
         for n in itertools.count():
             if ended.wait(SUBMIT_INTERVAL_S):
                 return
-            town.hand_in(f"m{n}")
+            town.submit(f"m{n}")
 
-    thread = threading.Thread(target=hand_in, daemon=True)
+    thread = threading.Thread(target=submit, daemon=True)
     yield thread.start
     ended.set()
     thread.join(5)
@@ -40,12 +40,12 @@
 def drain_during_a_silent_watch(town, plan):
     """Drains h1 while a call to discovery gets no answer. `plan` maps the number of each later call, from 0,
     to how it ends. Returns the time of the drain, in seconds."""
-    assert until(lambda: len(town.watches) >= 2)
+    assert wait_until(lambda: len(town.watches) >= 2)
     standing = len(town.watches)  # number of the next call, which gets no answer
     town.discovery_plan = (
         lambda n: "silent" if n == standing else plan(n - standing - 1) if n > standing else None
     )
-    assert until(lambda: len(town.watches) > standing)
+    assert wait_until(lambda: len(town.watches) > standing)
     town.change("h1", "leaving")
     return time.time()
 
@@ -63,8 +63,8 @@
     town.start()
     traffic()
     drained = drain_during_a_silent_watch(town, lambda n: how if n < failures else None)
-    assert until(lambda: time.time() > drained + KNOWN_WITHIN_S + GRACE_S + 2, 12)
-    assert until(lambda: latest_to(town, "h2", drained) > KNOWN_WITHIN_S + GRACE_S)
+    assert wait_until(lambda: time.time() > drained + KNOWN_WITHIN_S + GRACE_S + 2, 12)
+    assert wait_until(lambda: latest_to(town, "h2", drained) > KNOWN_WITHIN_S + GRACE_S)
     assert latest_to(town, "h1", drained) <= KNOWN_WITHIN_S + GRACE_S
 
 
@@ -72,13 +72,13 @@
 def test_a_list_that_was_out_of_date_before_a_restart_is_out_of_date_after_it(town, traffic):
     town.start()
     drained = drain_during_a_silent_watch(town, lambda n: "silent")
-    assert until(lambda: any("out of date" in event["event"] for event in town.events()), 12)
+    assert wait_until(lambda: any("out of date" in event["event"] for event in town.events()), 12)
     town.end()
     assert town.start()
     traffic()
-    assert until(lambda: time.time() > drained + KNOWN_WITHIN_S + GRACE_S + 1.5, 12)
+    assert wait_until(lambda: time.time() > drained + KNOWN_WITHIN_S + GRACE_S + 1.5, 12)
     town.discovery_plan = lambda n: None
-    assert until(lambda: latest_to(town, "h2", drained) > KNOWN_WITHIN_S + GRACE_S)
+    assert wait_until(lambda: latest_to(town, "h2", drained) > KNOWN_WITHIN_S + GRACE_S)
     assert latest_to(town, "h1", drained) <= KNOWN_WITHIN_S + GRACE_S
 
 
@@ -87,23 +87,23 @@
 def test_the_content_of_a_malformed_answer_counts_as_known_to_the_relay(town, traffic, malformed):
     town.start()
     traffic()
-    assert until(lambda: len(town.watches) >= 2)
+    assert wait_until(lambda: len(town.watches) >= 2)
     town.discovery_plan = lambda n: malformed if n == standing else 503 if n > standing else None
     standing = len(town.watches)
-    assert until(lambda: len(town.watches) > standing)
+    assert wait_until(lambda: len(town.watches) > standing)
     town.change("h1", "leaving")
     drained = time.time()
-    assert until(lambda: time.time() > drained + GRACE_S + 2)
+    assert wait_until(lambda: time.time() > drained + GRACE_S + 2)
     assert latest_to(town, "h1", drained) <= GRACE_S
     town.discovery_plan = lambda n: None
-    assert until(lambda: latest_to(town, "h2", drained) > GRACE_S + 2)
+    assert wait_until(lambda: latest_to(town, "h2", drained) > GRACE_S + 2)
     assert latest_to(town, "h1", drained) <= GRACE_S
 
 
 def test_the_log_has_the_lists_age_when_discovery_failed_and_the_changes_after_it(town):
     town.start()
     drain_during_a_silent_watch(town, lambda n: 503 if n < 1 else None)
-    assert until(lambda: any(event["event"] == "endpoints told" for event in town.events()), 12)
+    assert wait_until(lambda: any(event["event"] == "endpoints told" for event in town.events()), 12)
     logged = [event for event in town.events() if event["event"].startswith(("discovery", "endpoints"))]
     told = logged[-1]
     assert told["unlisted"] == ["h1"] and told["failures"] == 2
--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -3,7 +3,7 @@
 import random
 
 import pytest
-from helpers import Relay, S, named
+from helpers import DispatcherHarness, S, actions_named
 
 from courseroute.decisions.endpoint_list import EndpointListSchedule
 from courseroute.model.causes import HoldCause
@@ -20,7 +20,7 @@
 
 
 def polling_relay(**terms):
-    return Relay(**TERMS | {"ask": True, "ask_within": 10 * S} | terms)
+    return DispatcherHarness(**TERMS | {"ask": True, "ask_within": 10 * S} | terms)
 
 
 def calls_for_list(relay, span, answer=None):
@@ -28,7 +28,7 @@
     relay what came of it at once."""
     begun, calls = relay.now, []
     while relay.now < begun + span:
-        for _, wait in named(relay.run(10 * MS), "watch"):
+        for _, wait in actions_named(relay.run(10 * MS), "watch"):
             calls.append((relay.now - begun, wait))
             if answer:
                 answer(len(calls) - 1)
@@ -40,18 +40,18 @@
 @pytest.mark.parametrize("turned_away", [False, True])
 def test_behind_a_silent_watch_three_calls_fit_in_before_the_list_may_not_be_used(ask_within, turned_away):
     relay = polling_relay(ask_within=ask_within)
-    relay.tell("update_endpoints", "changes", [])
+    relay.apply("update_endpoints", "changes", [])
     calls = calls_for_list(
         relay,
         NOTIFIED_WITHIN + GRACE - 200 * MS,
-        lambda n: turned_away and relay.tell("update_endpoints", "failed", []),
+        lambda n: turned_away and relay.apply("update_endpoints", "failed", []),
     )
     assert 3 <= len(calls) <= 7
 
 
 def test_an_answered_call_is_followed_by_one_that_waits_for_news():
     relay = polling_relay()
-    assert named(relay.tell("update_endpoints", "changes", []), "watch") == [("watch", WATCH_WAIT)]
+    assert actions_named(relay.apply("update_endpoints", "changes", []), "watch") == [("watch", WATCH_WAIT)]
 
 
 # Guards against calls in a loop: one that need not wait is answered at once, and the next one has to wait.
@@ -60,20 +60,20 @@
     relay.run(5 * S)
     waits = []
     for _ in range(20):
-        wait = named(relay.tell("update_endpoints", "changes", [], relay.now), "watch")[0][1]
+        wait = actions_named(relay.apply("update_endpoints", "changes", [], relay.now), "watch")[0][1]
         waits.append(wait)
-        assert not named(relay.run(wait), "watch")
+        assert not actions_named(relay.run(wait), "watch")
     assert set(waits) == {WATCH_WAIT}
 
 
 @pytest.mark.parametrize("failures, least, most", [(1, 0, 1 * S), (12, 1 * S, 4 * S)])
 def test_a_discovery_that_fails_for_long_is_called_ever_less_often(failures, least, most):
     relay = polling_relay()
-    relay.tell("update_endpoints", "changes", [])
+    relay.apply("update_endpoints", "changes", [])
     for _ in range(failures):
-        relay.tell("update_endpoints", "failed", [])
+        relay.apply("update_endpoints", "failed", [])
         before = relay.now
-        while not named(relay.run(10 * MS), "watch"):
+        while not actions_named(relay.run(10 * MS), "watch"):
             pass
     assert least <= relay.now - before <= most
 
@@ -82,10 +82,10 @@
     """Times from now of the sends in a span in which a message comes every 100 ms."""
     begun = relay.now
     while relay.now < begun + span:
-        _, acts = relay.take(left=2 * S)
+        _, acts = relay.accept(left=2 * S)
         acts += relay.run(100 * MS, 50 * MS)
-        for _, message, host, _ in named(acts, "send"):
-            relay.back(message, "delivered", host=host)
+        for _, message, host, _ in actions_named(acts, "send"):
+            relay.report_outcome(message, "delivered", host=host)
     return [at - begun for at, *_ in relay.sends()]
 
 
@@ -94,31 +94,31 @@
 def test_nothing_is_sent_by_a_list_that_may_be_out_of_date_until_it_is_confirmed(turned_away):
     relay = polling_relay()
     if turned_away:
-        relay.tell("update_endpoints", "failed", [])
+        relay.apply("update_endpoints", "failed", [])
     sends = sends_of(relay, NOTIFIED_WITHIN + GRACE + 500 * MS)
     assert NOTIFIED_WITHIN < max(sends) < NOTIFIED_WITHIN + GRACE - 150 * MS
-    relay.take()
-    acts = relay.tell("update_endpoints", "changes", [("a", "ready", "z", 4.0, "plain", "d")])
-    assert named(acts, "send")
+    relay.accept()
+    acts = relay.apply("update_endpoints", "changes", [("a", "ready", "z", 4.0, "plain", "d")])
+    assert actions_named(acts, "send")
 
 
 def test_an_attempt_whose_connection_comes_up_when_the_list_may_be_out_of_date_is_held():
     relay = polling_relay()
     relay.run(6 * S)
-    name, acts = relay.take()
-    assert named(acts, "send") and relay.relay.hold_cause(relay.now, name, 0) is None
+    name, acts = relay.accept()
+    assert actions_named(acts, "send") and relay.dispatcher.hold_cause(relay.now, name, 0) is None
     relay.run(1 * S)
-    assert relay.relay.hold_cause(relay.now, name, 0) is HoldCause.LIST_TOO_OLD
+    assert relay.dispatcher.hold_cause(relay.now, name, 0) is HoldCause.LIST_TOO_OLD
 
 
 # Guards against a discovery that is down stopping all service: its last list is used again.
 def test_a_discovery_that_fails_for_long_counts_as_down_and_its_list_is_used_again():
     relay = polling_relay()
-    relay.tell("update_endpoints", "failed", [])
+    relay.apply("update_endpoints", "failed", [])
     relay.run(NOTIFIED_WITHIN + GRACE)
-    name, acts = relay.take()
-    assert not named(acts, "send")
-    assert [act[1] for act in named(relay.run(2 * S), "send")] == [name]
+    name, acts = relay.accept()
+    assert not actions_named(acts, "send")
+    assert [act[1] for act in actions_named(relay.run(2 * S), "send")] == [name]
 
 
 # Guards against a new life sending by a list that changed while no process ran.
@@ -131,9 +131,9 @@
 # Guards against an outage of discovery that it told of stopping service for a time.
 def test_the_list_of_a_discovery_that_went_down_is_used_until_it_answers_again():
     relay = polling_relay()
-    relay.tell("update_endpoints", "ended", [])
+    relay.apply("update_endpoints", "ended", [])
     assert sends_of(relay, 20 * S)[-1] > 19 * S
-    relay.tell("update_endpoints", "changes", [])
+    relay.apply("update_endpoints", "changes", [])
     assert sends_of(relay, 8 * S)[-1] < NOTIFIED_WITHIN + GRACE
 
 
@@ -142,9 +142,9 @@
 def test_behind_a_move_of_discovery_the_old_list_is_used_for_as_long_as_it_is_good(went_down):
     relay = polling_relay()
     if went_down:
-        relay.tell("update_endpoints", "ended", [])
-    assert named(relay.tell("discovery_moved"), "watch") == [("watch", 0)]
-    relay.tell("update_endpoints", "failed", [])
-    relay.tell("discovery_moved")
+        relay.apply("update_endpoints", "ended", [])
+    assert actions_named(relay.apply("discovery_moved"), "watch") == [("watch", 0)]
+    relay.apply("update_endpoints", "failed", [])
+    relay.apply("discovery_moved")
     sends = sends_of(relay, MOVED_NOTIFIED_WITHIN + GRACE + 1 * S)
     assert MOVED_NOTIFIED_WITHIN < sends[-1] < MOVED_NOTIFIED_WITHIN + GRACE - 100 * MS
--- a/tests/test_final_answers.py
+++ b/tests/test_final_answers.py
@@ -4,9 +4,9 @@
 import time
 
 import pytest
-from helpers import Town, until
+from helpers import RelayUnderTest, wait_until
 
-from courseroute.town.proxy import Proxy
+from courseroute.emulator.proxy import Proxy
 
 END_WITHIN_S = 0.3 + 0.05  # after the deadline, as the protocol allows, with its tolerance
 CLIENT_WAITS_S = 0.4  # for its answer: a request is at most this old when it is accepted
@@ -18,7 +18,7 @@
 def town(tmp_path):
     """Hosts that never answer, and a proxy in front of the platform; `client_proxy` is one in front of the
     relay."""
-    town = Town(tmp_path)
+    town = RelayUnderTest(tmp_path)
     town.plan = lambda call: "hang"
     platform_proxy = Proxy(town.discovery)
     town.platform_proxy, town.discovery = platform_proxy, platform_proxy.address
@@ -36,14 +36,14 @@
     town.client_proxy.late_s = unseen_s
     town.relay_address, direct = town.client_proxy.address, town.relay_address
     begun = time.monotonic()
-    status = town.hand_in("a", left=f"{TIME_LEFT_S * 1000:.0f}m")
+    status = town.submit("a", left=f"{TIME_LEFT_S * 1000:.0f}m")
     town.relay_address = direct
     return begun + TIME_LEFT_S, status
 
 
 def ended_at(town):
     """Waits for a notice and returns its time on the monotonic clock."""
-    assert until(lambda: town.notices, within=TIME_LEFT_S + 2)
+    assert wait_until(lambda: town.notices, within=TIME_LEFT_S + 2)
     return time.monotonic()
 
 
@@ -62,13 +62,13 @@
     town.start(slow_calls="accept 0.045")
     ended = {}
 
-    def hand_in(name):
+    def submit(name):
         begun = time.monotonic()
-        if town.hand_in(name, left="900m") == 202:
-            until(lambda: name in [notice["id"] for notice in town.notices])
+        if town.submit(name, left="900m") == 202:
+            wait_until(lambda: name in [notice["id"] for notice in town.notices])
             ended[name] = time.monotonic() - begun
 
-    clients = [threading.Thread(target=hand_in, args=(f"m{number}",)) for number in range(8)]
+    clients = [threading.Thread(target=submit, args=(f"m{number}",)) for number in range(8)]
     for client in clients:
         client.start()
     for client in clients:
@@ -90,9 +90,9 @@
 # As above, for notices that are queued while such a call is under way.
 def test_a_notice_does_not_wait_for_a_call_to_the_platform_that_gets_no_answer(town):
     town.platform_proxy.silent_connections = 1
-    town.hand_in("a", left="600m")
-    threading.Thread(target=town.hand_in, args=("b",), kwargs={"left": "650m"}).start()
-    assert until(lambda: len(town.notices) == 2)
+    town.submit("a", left="600m")
+    threading.Thread(target=town.submit, args=("b",), kwargs={"left": "650m"}).start()
+    assert wait_until(lambda: len(town.notices) == 2)
     closed = {event["id"]: event["at"] for event in town.events() if event["event"] == "message closed"}
     assert time.time() * 1000 - max(closed.values()) < 200
 
@@ -102,7 +102,7 @@
     town.platform_proxy.silent_connections = 8
     begun, count = time.monotonic(), 5
     for number in range(count):
-        assert town.hand_in(f"m{number}", left=f"{TIME_LEFT_S * 1000:.0f}m") == 202
+        assert town.submit(f"m{number}", left=f"{TIME_LEFT_S * 1000:.0f}m") == 202
         time.sleep(0.06)
-    assert until(lambda: len(town.notices) == count, within=TIME_LEFT_S + 2)
+    assert wait_until(lambda: len(town.notices) == count, within=TIME_LEFT_S + 2)
     assert time.monotonic() <= begun + TIME_LEFT_S + END_WITHIN_S
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -429,13 +429,13 @@
 
 def test_tools_report_the_state_of_a_folder_and_salvage_a_damaged_one(folder, tmp_path):
     path, tracker = folder
-    state = tools.state(path)
+    state = tools.folder_state(path)
     assert set(state["held"]) == set(tracker.held) and set(state["owed"]) == set(tracker.pending_notices) \
         and not state["bad"]
     assert tools.verify(path) == [] and tools.stat(path)["held"] == len(tracker.held)
-    assert all(orjson.loads(line)["kind"] for line in tools.lines(path))
+    assert all(orjson.loads(line)["kind"] for line in tools.dump_lines(path))
     before, after = tools.compact(path, 60_000)
-    assert after < before and set(tools.state(path)["held"]) == set(tracker.held)
+    assert after < before and set(tools.folder_state(path)["held"]) == set(tracker.held)
     name, _, data = next(iter(tools.segments(path)))
     first = next(iter(tracker.held))
     data = bytearray(data)
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -2,8 +2,8 @@
 import pytest
 
 from courseroute.checked import made
-from courseroute.town.judge import MS, RULES, Judge, S
-from courseroute.town.script import Day
+from courseroute.emulator.judge import MS, RULES, Judge, S
+from courseroute.emulator.scenario import Day
 
 START = 1000 * S
 LANE = {"target": "2s", "deadline": "8s"}
--- a/tests/test_partner.py
+++ b/tests/test_partner.py
@@ -8,9 +8,9 @@
 from hypothesis import strategies as st
 
 from courseroute.checked import Bad, made
+from courseroute.emulator.destination import DestinationModel
+from courseroute.emulator.scenario import Day, arrivals, destinations, load, scheduled_faults
 from courseroute.run.setup import Rules
-from courseroute.town.partner import Partner
-from courseroute.town.script import Day, arrivals, destinations, load, strikes
 
 MS, S = 10**6, 10**9
 DAY = {
@@ -24,9 +24,9 @@
 
 def partner(faults=(), **form):
     day = made(DAY | {"partners": {"p": DAY["partners"]["p"] | form}, "fault": list(faults)}, Day)
-    made_one = Partner(destinations(day)[0], RULES, np.random.default_rng(1))
-    for number, strike in enumerate(strikes(day)):
-        made_one.begin(strike.begin, number, strike)
+    made_one = DestinationModel(destinations(day)[0], RULES, np.random.default_rng(1))
+    for number, scheduled in enumerate(scheduled_faults(day)):
+        made_one.begin(scheduled.begin, number, scheduled)
     return made_one
 
 
@@ -180,7 +180,7 @@
 def test_the_same_seed_draws_the_same_day_and_another_one_differs():
     told = DAY | {"faults_drawn": {"kinds": ["kill", "refuse", "burst"]}, "relays": {"count": 2}}
     days = [made(told | {"seed": seed}, Day) for seed in (1, 1, 2)]
-    drawn = [(arrivals(day), strikes(day)) for day in days]
+    drawn = [(arrivals(day), scheduled_faults(day)) for day in days]
     assert drawn[0] == drawn[1] and drawn[0] != drawn[2] and len(drawn[0][1]) > 2
 
 
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -5,9 +5,9 @@
 import pytest
 import trio
 
-from courseroute.town.play import play
-from courseroute.town.report import figures
-from courseroute.town.script import load
+from courseroute.emulator.play import run_day
+from courseroute.emulator.report import figures
+from courseroute.emulator.scenario import load
 
 ROOT = Path(__file__).parent.parent
 SHARE_OF_CALLS = 0.005
@@ -16,10 +16,10 @@
 # Guards against sending a request again that must not be repeated, while faults of many kinds coincide.
 @pytest.mark.parametrize("seed", [1, 2])
 def test_every_rule_is_kept_while_system_calls_fail(tmp_path, monkeypatch, seed):
-    monkeypatch.setenv("PYTHONPATH", f"{ROOT / 'courseroute' / 'town' / 'shims'}:{ROOT}")
+    monkeypatch.setenv("PYTHONPATH", f"{ROOT / 'courseroute' / 'emulator' / 'shims'}:{ROOT}")
     monkeypatch.setenv("SYSTEM_CALL_FAULTS", f"{seed} {SHARE_OF_CALLS}")
     day = load(ROOT / "examples" / "repeats.toml", seed=seed, lasts="8s")
-    found = figures(trio.run(play, day, tmp_path / "day"))
+    found = figures(trio.run(run_day, day, tmp_path / "day"))
     assert found["void"] or not found["broken"], found["broken"]
     assert found["all"]["delivered"] > 0.4 * found["all"]["messages"]
 
@@ -27,7 +27,7 @@
 # Guards against requests to draining hosts while silent watches, a busy directory and restarts coincide.
 def test_every_rule_is_kept_while_lists_go_stale(tmp_path):
     day = load(ROOT / "examples" / "stale-lists.toml", seed=1, lasts="20s")
-    found = figures(trio.run(play, day, tmp_path / "day"))
+    found = figures(trio.run(run_day, day, tmp_path / "day"))
     assert found["void"] or not found["broken"], found["broken"]
     assert found["all"]["delivered"] > 0.4 * found["all"]["messages"]
 
@@ -38,7 +38,7 @@
 @pytest.mark.parametrize("name", ["copied-answers", "restarts-in-use"])
 def test_every_rule_is_kept_while_answers_come_twice(tmp_path, name):
     day = load(ROOT / "examples" / f"{name}.toml", seed=1, lasts="8s")
-    found = figures(trio.run(play, day, tmp_path / "day"))
+    found = figures(trio.run(run_day, day, tmp_path / "day"))
     assert found["void"] or not found["broken"], found["broken"]
     assert found["all"]["delivered"] > 0.4 * found["all"]["messages"]
 
@@ -47,6 +47,6 @@
 # are delayed and disks fail.
 def test_every_rule_is_kept_while_final_answers_are_hard_to_give(tmp_path):
     day = load(ROOT / "examples" / "late-answers.toml", seed=3, lasts="8s")
-    found = figures(trio.run(play, day, tmp_path / "day"))
+    found = figures(trio.run(run_day, day, tmp_path / "day"))
     assert found["void"] or not found["broken"], found["broken"]
     assert found["all"]["delivered"] > 0.4 * found["all"]["messages"]
--- a/tests/test_standstill.py
+++ b/tests/test_standstill.py
@@ -5,7 +5,7 @@
 import time
 
 import pytest
-from helpers import Town, until
+from helpers import RelayUnderTest, wait_until
 
 from courseroute.run.standstill import Standstills
 
@@ -16,18 +16,18 @@
 # Guards against a late final answer to a request that arrived while the relay was stopped and so waited
 # unread.
 def test_a_request_that_waited_unread_ends_within_its_deadline(tmp_path):
-    town = Town(tmp_path)
+    town = RelayUnderTest(tmp_path)
     try:
         town.plan = lambda call: "hang"
         town.start()
         town.relay.send_signal(signal.SIGSTOP)
-        client = threading.Thread(target=town.hand_in, args=("a",), kwargs={"left": "1500m"})
+        client = threading.Thread(target=town.submit, args=("a",), kwargs={"left": "1500m"})
         submitted_at = time.monotonic()
         client.start()
         time.sleep(0.8)
         town.relay.send_signal(signal.SIGCONT)
         client.join()
-        assert until(lambda: town.notices)
+        assert wait_until(lambda: town.notices)
         assert time.monotonic() - submitted_at <= 1.5 + END_WITHIN_S
     finally:
         town.close()
--- a/tests/test_town.py
+++ b/tests/test_town.py
@@ -16,11 +16,11 @@
 import trio
 
 from courseroute.checked import made
-from courseroute.town.play import play
-from courseroute.town.relays import SHIMS
-from courseroute.town.report import figures
-from courseroute.town.script import Day, load
-from courseroute.town.soak import Plan, seeds_of, soak
+from courseroute.emulator.play import run_day
+from courseroute.emulator.relays import SHIMS
+from courseroute.emulator.report import figures
+from courseroute.emulator.scenario import Day, load
+from courseroute.emulator.soak import Plan, seeds_of, soak
 
 ROOT = Path(__file__).parent.parent
 HARD_CASE_COUNT = 4
@@ -66,7 +66,7 @@
     day = made(BASE_DAY | changes, Day)
     command = command and [sys.executable, str(ROOT / "tests/wrong_relay.py"), command]
     os.environ["PYTHONPATH"] = str(ROOT)
-    result = trio.run(play, day, tmp_path / "town", command)
+    result = trio.run(run_day, day, tmp_path / "town", command)
     return figures(result), result
 
 
@@ -220,7 +220,7 @@
             threading.Timer(0.6, os.kill, (emulation.workers[0].pid, signal.SIGCONT)).start()
 
     day = made(BASE_DAY, Day)
-    assert trio.run(play, day, tmp_path / "town", None, pause_worker).judge.void
+    assert trio.run(run_day, day, tmp_path / "town", None, pause_worker).judge.void
 
 
 def test_a_restart_during_a_directory_outage_uses_the_saved_list(tmp_path):
@@ -400,7 +400,7 @@
 def test_the_relay_imports_no_library_of_the_command_line_tools():
     code = (
         "import sys, courseroute.__main__; print([name for name in ('click', 'rich', 'numpy', "
-        "'structlog', 'psutil', 'asyncio', 'courseroute.town', 'courseroute.command') "
+        "'structlog', 'psutil', 'asyncio', 'courseroute.emulator', 'courseroute.command') "
         "if name in sys.modules])"
     )
     process = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True)
--- a/tests/test_windows.py
+++ b/tests/test_windows.py
@@ -3,9 +3,9 @@
 import time
 
 import pytest
-from helpers import Town, until
+from helpers import RelayUnderTest, wait_until
 
-from courseroute.town.proxy import Proxy
+from courseroute.emulator.proxy import Proxy
 
 WINDOW_S = 0.8
 LARGE_BODY = b"x" * 9_000  # more than a proxy's receive buffer holds, less than the sender's send buffer
@@ -13,7 +13,7 @@
 
 @pytest.fixture
 def town(tmp_path):
-    town = Town(tmp_path)
+    town = RelayUnderTest(tmp_path)
     grades = [grade | {"window": int(WINDOW_S * 1_000_000)} for grade in town.settings["grades"]]
     town.settings = town.settings | {"grades": grades}
     yield town
@@ -46,7 +46,7 @@
 
 
 def wait_until_window_is_over(town):
-    assert until(lambda: town.calls and time.time() > town.calls[0]["at"] + WINDOW_S)
+    assert wait_until(lambda: town.calls and time.time() > town.calls[0]["at"] + WINDOW_S)
 
 
 def assert_not_repeated(town):
@@ -59,11 +59,11 @@
 def test_a_retry_is_not_sent_when_its_connection_is_established_after_its_window(town, proxies):
     town.plan = lose_first_answer(proxies, Proxy.drop_new_connections)
     town.start()
-    assert town.hand_in("a", "order") == 202
+    assert town.submit("a", "order") == 202
     wait_until_window_is_over(town)
     for proxy in proxies:
         proxy.accept_again()
-    assert until(lambda: town.notices or len(town.calls) > 1)
+    assert wait_until(lambda: town.notices or len(town.calls) > 1)
     assert_not_repeated(town)
 
 
@@ -71,14 +71,14 @@
 def test_a_retry_whose_last_bytes_are_in_transit_when_its_window_closes_never_arrives(town, proxies):
     town.plan = lose_first_answer(proxies, Proxy.hold_bytes)
     town.start()
-    assert town.hand_in("a", "order", LARGE_BODY) == 202
-    assert until(lambda: town.notices)
+    assert town.submit("a", "order", LARGE_BODY) == 202
+    assert wait_until(lambda: town.notices)
     wait_until_window_is_over(town)
     endings = [event["ending"] for event in town.events() if event["event"] == "attempt ended"]
     assert "timeout" not in endings  # abandoned for its window, before its timeout
     for proxy in proxies:
         proxy.pass_bytes()
-    assert not until(lambda: len(town.calls) > 1, 0.5)
+    assert not wait_until(lambda: len(town.calls) > 1, 0.5)
     assert_not_repeated(town)
 
 
@@ -87,11 +87,11 @@
     for proxy in proxies:
         proxy.hold_bytes()
     town.start()
-    assert town.hand_in("a", "once", LARGE_BODY) == 202
-    assert until(lambda: town.notices == [{"id": "a", "state": "failed"}])
+    assert town.submit("a", "once", LARGE_BODY) == 202
+    assert wait_until(lambda: town.notices == [{"id": "a", "state": "failed"}])
     for proxy in proxies:
         proxy.pass_bytes()
-    assert not until(lambda: town.calls, 0.5)
+    assert not wait_until(lambda: town.calls, 0.5)
 
 
 # Guards against a keyed request being sent again outside its window after the wall clock was set back.
@@ -99,12 +99,12 @@
 def test_a_closed_window_stays_closed_after_a_restart_with_the_wall_clock_set_back(town, step_s):
     town.plan = lambda call: "hang" if call["n"] == 0 else (200, {})
     town.start()
-    assert town.hand_in("a", "order") == 202
-    assert until(lambda: town.calls)
+    assert town.submit("a", "order") == 202
+    assert wait_until(lambda: town.calls)
     town.end()
     wait_until_window_is_over(town)
     town.start(wall_clock_step_s=step_s)
-    assert until(lambda: town.notices or len(town.calls) > 1)
+    assert wait_until(lambda: town.notices or len(town.calls) > 1)
     assert_not_repeated(town)
 
 
@@ -112,9 +112,9 @@
 def test_a_message_is_sent_after_a_restart_with_the_wall_clock_stepped(town, step_s):
     town.plan = lambda call: (429, {"Wait-Ms": "300"}) if call["n"] == 0 else (200, {})
     town.start()
-    assert town.hand_in("a", "notice") == 202
-    assert until(lambda: town.calls)
+    assert town.submit("a", "notice") == 202
+    assert wait_until(lambda: town.calls)
     town.end()
     town.start(wall_clock_step_s=step_s)
-    assert until(lambda: len(town.calls) == 2 or town.notices)
+    assert wait_until(lambda: len(town.calls) == 2 or town.notices)
     assert not town.notices and len(town.calls) == 2
--- a/tests/wrong_relay.py
+++ b/tests/wrong_relay.py
@@ -7,7 +7,7 @@
 
 import trio
 
-from courseroute.town.null import NullRelay, main
+from courseroute.emulator.null_relay import NullRelay, main
 
 
 class FaultyRelay(NullRelay):
