--- a/courseroute/command/main.py
+++ b/courseroute/command/main.py
@@ -252,7 +252,7 @@
                 "kind": scheduled.kind,
                 "begin_ms": scheduled.begin // 10**6,
                 "end_ms": scheduled.end // 10**6,
-                "names": list(scheduled.names),
+                "names": list(scheduled.targets),
             }
             for scheduled in scheduled_faults(day)
         ],
